--- a/packages/proxy/src/mod.ts
+++ b/packages/proxy/src/mod.ts
@@ -2,9 +2,9 @@
  * The request path of a fleet whose declarations are published whole.
  */
 
-export * from "./feeds.ts";
 export * from "./listener.ts";
 export * from "./proxy_vm.ts";
+export * from "./publisher.ts";
 export * from "./reachability.ts";
 export * from "./request_log.ts";
 export * from "./start_gate.ts";
--- a/packages/proxy/src/proxy_vm.ts
+++ b/packages/proxy/src/proxy_vm.ts
@@ -8,14 +8,14 @@
 import * as mesh from "@hemlockwalk/mesh";
 import type * as bunyan from "bunyan";
 import * as budgets from "./budgets.ts";
-import * as feeds from "./feeds.ts";
+import * as feeds from "./publisher.ts";
 import * as listeners from "./listener.ts";
 import * as log from "./request_log.ts";
 import * as gates from "./start_gate.ts";
 import * as connections from "./target_connections.ts";
-import * as knowledge from "./target_knowledge.ts";
+import * as knowledge from "./target_tracker.ts";
 import type * as types from "./types.ts";
-import * as waitingLines from "./waiting_lines.ts";
+import * as waitingLines from "./request_queues.ts";
 
 const HOUSEKEEPING_INTERVAL_MILLISECONDS = 1_000;
 
--- a/packages/proxy/src/request_context.ts
+++ b/packages/proxy/src/request_context.ts
@@ -7,9 +7,9 @@
 import type * as log from "./request_log.ts";
 import type * as gates from "./start_gate.ts";
 import type * as connections from "./target_connections.ts";
-import type * as knowledge from "./target_knowledge.ts";
+import type * as knowledge from "./target_tracker.ts";
 import type * as types from "./types.ts";
-import type * as waitingLines from "./waiting_lines.ts";
+import type * as waitingLines from "./request_queues.ts";
 
 /** What the request path works with. */
 export interface RequestContext {
--- a/packages/proxy/src/store_follower.ts
+++ b/packages/proxy/src/store_follower.ts
@@ -10,7 +10,7 @@
 import type * as declarations from "@hemlockwalk/declarations";
 import * as kernel from "@hemlockwalk/kernel";
 import type * as mesh from "@hemlockwalk/mesh";
-import type * as feeds from "./feeds.ts";
+import type * as feeds from "./publisher.ts";
 
 /** Data centres whose first VM reads. Three at once fail rarely. */
 const READING_DATA_CENTRES = 3;
