--- a/packages/placement/src/mod.ts
+++ b/packages/placement/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Decisions over plain values: belief in targets, choice of a target, waiting and shared budgets.
+ * Placement decisions over plain values: health estimates of targets, choice of a target, request
+ * queues and shared token buckets.
  */
 
 export * from "./chooser.ts";
--- a/packages/placement/src/processing_times.ts
+++ b/packages/placement/src/processing_times.ts
@@ -1,31 +1,31 @@
 /**
- * How long requests take: the mean of each route, and how much slower a target is than others.
+ * Processing times of requests: the mean of each route, and each target's ratio to that mean.
  */
 
-/** Weight of a new work time in a route's mean. */
+/** Weight of a new processing time in a route's mean. */
 const ROUTE_WEIGHT = 0.05;
 
-/** Weight of a new work time in a target's slowness. Few calls of one VM reach one target. */
+/** Weight of a new processing time in a target's ratio. One VM sends few calls to each target. */
 const TARGET_WEIGHT = 0.2;
 
-/** Slowness beyond this tells nothing more. */
-const MAX_SLOWNESS = 8;
+/** Upper bound of a single ratio; larger ones carry no more information. */
+const MAX_RELATIVE_TIME = 8;
 
-/** Assumed before the first answer, as a share of the route's objective. */
+/** Mean assumed before the first response, as a share of the route's objective. */
 const INITIAL_SHARE_OF_OBJECTIVE = 0.3;
 
-/** Work times as one VM has seen them. */
-export class WorkTimes {
+/** Processing times measured by one VM. */
+export class ProcessingTimes {
   readonly #routes = new Map<string, number>();
   readonly #targets = new Map<string, number>();
 
-  /** Mean work time of a route's requests, in milliseconds. */
-  getTypical(route: string, objectiveMilliseconds: number): number {
+  /** Mean processing time of a route's requests, in milliseconds. */
+  getRouteMean(route: string, objectiveMilliseconds: number): number {
     return this.#routes.get(route) ?? objectiveMilliseconds * INITIAL_SHARE_OF_OBJECTIVE;
   }
 
-  /** Work time at a target against the mean of its requests' routes; 1 when unknown. */
-  getSlowness(target: string): number {
+  /** Ratio of a target's processing times to the means of the routes; 1 when unknown. */
+  getRelativeTime(target: string): number {
     return this.#targets.get(target) ?? 1;
   }
 
@@ -35,14 +35,14 @@
     milliseconds: number,
     objectiveMilliseconds: number,
   ): void {
-    const typical = this.getTypical(route, objectiveMilliseconds);
-    this.#routes.set(route, typical + ROUTE_WEIGHT * (milliseconds - typical));
-    const ratio = Math.min(milliseconds / Math.max(typical, 1), MAX_SLOWNESS);
-    const slowness = this.getSlowness(target);
-    this.#targets.set(target, slowness + TARGET_WEIGHT * (ratio - slowness));
+    const mean = this.getRouteMean(route, objectiveMilliseconds);
+    this.#routes.set(route, mean + ROUTE_WEIGHT * (milliseconds - mean));
+    const ratio = Math.min(milliseconds / Math.max(mean, 1), MAX_RELATIVE_TIME);
+    const relativeTime = this.getRelativeTime(target);
+    this.#targets.set(target, relativeTime + TARGET_WEIGHT * (ratio - relativeTime));
   }
 
-  forgetTarget(target: string): void {
+  removeTarget(target: string): void {
     this.#targets.delete(target);
   }
 }
--- a/packages/placement/src/request_queue.ts
+++ b/packages/placement/src/request_queue.ts
@@ -1,78 +1,78 @@
 /**
- * Requests that wait for a slot, the most urgent first.
+ * A queue of requests that wait for a slot, ordered by priority.
  *
- * Load that this answers: more requests than slots for a short while. Whoever waits here can still
- * be overtaken by a more urgent request and refused as not run, which a request that waits at a
- * target cannot. Nobody waits longer than is of use to the caller.
+ * Designed for short periods with more requests than slots. A request that waits here can still be
+ * overtaken by one of higher priority, and be refused as not run; neither is possible once it waits
+ * at a target. No request waits longer than is of use to its caller.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 
-/** How often waiting requests are looked at when nothing has ended here; other VMs free slots too. */
+/** How often the queue is processed when no call has ended on this VM; other VMs free slots too. */
 const POLL_MILLISECONDS = 25;
 
-/** A request in the line. */
-export interface Waiter {
-  /** Rank, 0 being the most urgent. */
+/** A request in the queue. */
+export interface QueuedRequest {
+  /** Priority; 0 is the highest. */
   readonly priority: number;
-  /** Whether any target will do: none has been tried yet. */
-  readonly takesAnyTarget: boolean;
-  /** Monotonic time until which waiting is of use, in milliseconds. */
+  /** Whether the request accepts any target, since it has not tried one yet. */
+  readonly acceptsAnyTarget: boolean;
+  /** Monotonic time until which the request may wait, in milliseconds. */
   readonly waitUntil: number;
-  /** Places the request if there is room; returns whether it did. */
+  /** Places the request if a target has a free slot; returns whether it did. */
   tryPlace(): boolean;
-  /** Called once when the time is over. */
-  giveUp(): void;
+  /** Called once if the request was not placed in time. */
+  onTimeout(): void;
 }
 
-/** One line for each service. */
-export class WaitingLine {
-  readonly #waiters: Waiter[] = [];
+/** The queue of one service. */
+export class RequestQueue {
+  readonly #requests: QueuedRequest[] = [];
   #timer: NodeJS.Timeout | undefined;
 
   get length(): number {
-    return this.#waiters.length;
+    return this.#requests.length;
   }
 
-  /** Number of waiting requests that are served before one of the given priority. */
+  /** Number of queued requests that are placed before a new one of the given priority. */
   countAhead(priority: number): number {
-    return this.#waiters.filter((waiter) => waiter.priority <= priority).length;
+    return this.#requests.filter((request) => request.priority <= priority).length;
   }
 
-  add(waiter: Waiter): void {
-    const index = this.#waiters.findIndex((other) => other.priority > waiter.priority);
-    this.#waiters.splice(index < 0 ? this.#waiters.length : index, 0, waiter);
+  add(request: QueuedRequest): void {
+    const index = this.#requests.findIndex((other) => other.priority > request.priority);
+    this.#requests.splice(index < 0 ? this.#requests.length : index, 0, request);
     this.#timer ??= setInterval(() => this.advance(), POLL_MILLISECONDS);
   }
 
-  remove(waiter: Waiter): void {
-    const index = this.#waiters.indexOf(waiter);
+  remove(request: QueuedRequest): void {
+    const index = this.#requests.indexOf(request);
     if (index >= 0) {
-      this.#waiters.splice(index, 1);
+      this.#requests.splice(index, 1);
     }
     this.#stopWhenEmpty();
   }
 
-  /** Places whoever can be placed and gives up on those whose time is over. */
+  /** Places the requests that can be placed and removes those whose time is over. */
   advance(): void {
     const now = kernel.getMonotonicMilliseconds();
-    // Where there is no room for a request that takes any target, there is none for those behind it.
+    // If no target has room for a request that accepts any, none has room for those behind it.
     let isFull = false;
-    for (const waiter of [...this.#waiters]) {
-      if (now >= waiter.waitUntil) {
-        this.remove(waiter);
-        waiter.giveUp();
-      } else if (!isFull && waiter.tryPlace()) {
-        this.remove(waiter);
+    for (const request of [...this.#requests]) {
+      if (now >= request.waitUntil) {
+        this.remove(request);
+        request.onTimeout();
+      } else if (!isFull && request.tryPlace()) {
+        this.remove(request);
       } else {
-        isFull ||= waiter.takesAnyTarget;
+        isFull ||= request.acceptsAnyTarget;
       }
     }
     this.#stopWhenEmpty();
   }
 
   #stopWhenEmpty(): void {
-    if (this.#waiters.length === 0) {
+    if (this.#requests.length === 0) {
       clearInterval(this.#timer);
       this.#timer = undefined;
     }
--- a/packages/placement/src/shared_bucket.ts
+++ b/packages/placement/src/shared_bucket.ts
@@ -1,68 +1,75 @@
 /**
- * A token bucket that all VMs draw on, without anybody who holds it.
+ * A token bucket that all VMs draw on, without a central owner.
  *
- * Load that this answers: a workspace far beyond its rate, spread unevenly over all VMs, and retries
- * of all VMs against one budget. Each VM tells the others how many tokens it has taken and how many
- * were asked of it, as counters that only rise. While the level is ample, tokens are taken at once;
- * once it is low, each VM keeps to its share of the refill, by demand, so that what the others take
- * unseen cannot add up. VMs that have lately been known but are not heard keep their share.
+ * Designed for a workspace far beyond its rate whose requests are spread unevenly over all VMs, and
+ * for the retries of all VMs against one budget. Each VM reports to the others how many tokens it
+ * has taken and how many were requested of it, as counters that only rise. While the level is high,
+ * tokens are taken at once. Once it is low, each VM keeps to its share of the refill, in proportion
+ * to demand, so that tokens which the others take but have not yet reported cannot add up. VMs that
+ * were recently known but are not in contact keep their share.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 
-/** Assumed until the first refill. */
-const FIRST_NEWS_MILLISECONDS = 300;
+/** Propagation delay assumed until the first refill. */
+const INITIAL_PROPAGATION_MILLISECONDS = 300;
 
-/** A VM that has taken this share of the burst unheard should tell the others at once. */
-const UNHEARD_SHARE_OF_BURST = 0.1;
+/** A VM with this share of the burst taken but not yet reported should report at once. */
+const MAX_UNREPORTED_SHARE_OF_BURST = 0.1;
 
-/** Below this share of the burst, what is taken unheard matters. */
-const AMPLE_SHARE_OF_BURST = 0.8;
+/** Unreported tokens matter once the level is below this share of the burst. */
+const HIGH_LEVEL_SHARE_OF_BURST = 0.8;
 
-/** By so much of the burst, and so many tokens, shares may be taken from a level below zero. */
-const SHARE_DEBT_OF_BURST = 0.25;
-const SHARE_DEBT_TOKENS = 2;
+/**
+ * How far below zero the level may be while VMs still spend tokens of their share: this part of the
+ * burst plus this number of tokens.
+ */
+const MAX_SHARE_DEBT_OF_BURST = 0.25;
+const MAX_SHARE_DEBT_TOKENS = 2;
 
 /** Time over which demand is averaged. */
 const DEMAND_WINDOW_MILLISECONDS = 2_000;
 
-/** Tokens that a VM may save up from its share. */
-const SHARE_BURST = 1.5;
+/** Most tokens that a VM may save up from its share. */
+const MAX_SHARE_TOKENS = 1.5;
 
-/** The level may fall so many bursts below zero; older debts are forgotten. */
+/** How far below zero the level may fall, in bursts; any further debt is discarded. */
 const MAX_DEBT_IN_BURSTS = 2;
 
-/** Counters after so long a silence tell what a VM took while it was not heard. */
-const RETURN_AFTER_MILLISECONDS = 2_000;
+/**
+ * A VM whose counters arrive after a longer gap was out of contact. The new counters include the
+ * tokens that it took in that time.
+ */
+const CONTACT_LOSS_MILLISECONDS = 2_000;
 
 /**
- * Once all VMs are heard again, what nobody claims is given up at this share of the rate. VMs with
- * few requests tell seconds later what they have taken.
+ * Once all VMs are in contact again, withheld tokens that nobody has claimed are discarded at this
+ * share of the rate. VMs with few requests report what they have taken only seconds later.
  */
-const WITHHELD_DRAIN = 0.25;
+const WITHHELD_DISCARD_SHARE = 0.25;
 
-/** What one VM has taken and was asked for since it started. */
+/** Tokens that one VM has taken, and that were requested of it, since its start. */
 export interface BucketCounters {
   readonly taken: number;
-  readonly asked: number;
+  readonly requested: number;
 }
 
-/** Presence of the fleet as one VM sees it. */
+/** Size of the fleet as one VM sees it. */
 export interface FleetPresence {
-  /** VMs heard at present, this one included. */
+  /** VMs in contact at present, this one included. */
   readonly present: number;
-  /** The most VMs known lately; at least `present`. */
+  /** The most VMs known within the recent past; at least `present`. */
   readonly expected: number;
-  /** Time within which this VM hears what others have taken, in milliseconds. */
-  readonly newsMilliseconds: number;
+  /** Time within which this VM receives what others have taken, in milliseconds. */
+  readonly propagationMilliseconds: number;
 }
 
 interface OtherVm {
   incarnation: string;
   taken: number;
-  asked: number;
-  /** Monotonic time of its latest counters, in milliseconds. */
-  heardAt: number;
+  requested: number;
+  /** Monotonic time at which its latest counters were received, in milliseconds. */
+  lastReceivedAt: number;
 }
 
 /** One VM's view of a bucket. */
@@ -71,13 +78,13 @@
   #allowance: number;
   #level: number;
   #taken = 0;
-  #asked = 0;
-  #reported = 0;
+  #requested = 0;
+  #requestedReported = 0;
   #takenReported = 0;
   readonly #others = new Map<string, OtherVm>();
   #shareLevel = 0;
-  #newsMilliseconds = FIRST_NEWS_MILLISECONDS;
-  /** What has accrued for VMs that were not heard; it pays for what they turn out to have taken. */
+  #propagationMilliseconds = INITIAL_PROPAGATION_MILLISECONDS;
+  /** Tokens that accrued for VMs out of contact. They cover what those VMs report later. */
   #withheld = 0;
   #ownDemand = 0;
   #fleetDemand = 0;
@@ -93,12 +100,12 @@
     this.#level = Math.min(level, burst);
   }
 
-  /** Tokens left, as far as known here. Negative after more was taken than there was. */
+  /** Tokens left, as far as this VM knows. Negative once more tokens were taken than there were. */
   get level(): number {
     return this.#level;
   }
 
-  /** Tokens saved up from this VM's share, for times when the level is low. */
+  /** Tokens saved up from this VM's share, to be spent while the level is low. */
   get shareLevel(): number {
     return this.#shareLevel;
   }
@@ -109,37 +116,38 @@
     this.#level = Math.min(this.#level, burst);
   }
 
-  /** Takes the level from a VM that has followed the bucket for longer. */
+  /** Adopts the level of a VM that has tracked the bucket for longer. */
   adoptLevel(level: number): void {
     this.#level = Math.min(level, this.#burst);
   }
 
-  /** Adds what has accrued for the whole fleet since the last call. */
+  /** Adds the tokens that have accrued for the whole fleet since the last call. */
   refill(tokens: number, presence: FleetPresence): void {
-    this.#newsMilliseconds = presence.newsMilliseconds;
-    const heard = tokens * presence.present / Math.max(presence.expected, 1);
-    this.#level = Math.min(this.#burst, this.#level + heard);
+    this.#propagationMilliseconds = presence.propagationMilliseconds;
+    const credited = tokens * presence.present / Math.max(presence.expected, 1);
+    this.#level = Math.min(this.#burst, this.#level + credited);
     this.#withheld = presence.present < presence.expected
-      ? this.#withheld + tokens - heard
-      : Math.max(0, this.#withheld - tokens * WITHHELD_DRAIN);
+      ? this.#withheld + tokens - credited
+      : Math.max(0, this.#withheld - tokens * WITHHELD_DISCARD_SHARE);
     const share = this.#fleetDemand > 0
       ? Math.min(1, this.#ownDemand / this.#fleetDemand)
       : 1 / Math.max(presence.expected, 1);
-    this.#shareLevel = Math.min(SHARE_BURST, this.#shareLevel + heard * share);
+    this.#shareLevel = Math.min(MAX_SHARE_TOKENS, this.#shareLevel + credited * share);
   }
 
-  /** Takes a token if there is one for this VM. */
+  /** Takes a token if one is available to this VM. */
   take(): boolean {
-    this.#asked++;
+    this.#requested++;
     this.#addDemand(1, 1);
     const othersDemand = Math.max(0, this.#fleetDemand - this.#ownDemand);
-    const unseen = othersDemand * this.#newsMilliseconds / DEMAND_WINDOW_MILLISECONDS;
-    if (this.#level + this.#allowance >= 1 + Math.min(unseen, this.#burst)) {
+    const unreported = othersDemand * this.#propagationMilliseconds / DEMAND_WINDOW_MILLISECONDS;
+    if (this.#level + this.#allowance >= 1 + Math.min(unreported, this.#burst)) {
       this.#spend();
       return true;
     }
-    const lowest = -this.#burst * SHARE_DEBT_OF_BURST - SHARE_DEBT_TOKENS - this.#allowance;
-    if (this.#shareLevel < 1 || this.#level < lowest) {
+    const lowestLevel = -this.#burst * MAX_SHARE_DEBT_OF_BURST - MAX_SHARE_DEBT_TOKENS -
+      this.#allowance;
+    if (this.#shareLevel < 1 || this.#level < lowestLevel) {
       return false;
     }
     this.#shareLevel -= 1;
@@ -147,52 +155,57 @@
     return true;
   }
 
-  /** Gives back a token that was taken for nothing. */
-  giveBack(): void {
+  /** Returns a token whose request was not run. */
+  returnToken(): void {
     this.#level = Math.min(this.#burst, this.#level + 1);
     this.#taken--;
   }
 
-  /** Whether the others should hear of this VM's tokens before the next tick. */
+  /** Whether this VM should report its counters before the next tick. */
   get isUrgent(): boolean {
-    return this.#level < this.#burst * AMPLE_SHARE_OF_BURST &&
-      this.#taken - this.#takenReported >= Math.max(2, this.#burst * UNHEARD_SHARE_OF_BURST);
+    return this.#level < this.#burst * HIGH_LEVEL_SHARE_OF_BURST &&
+      this.#taken - this.#takenReported >= Math.max(2, this.#burst * MAX_UNREPORTED_SHARE_OF_BURST);
   }
 
-  /** This VM's counters if they have changed since the last collection. */
+  /** Returns this VM's counters if they have changed since the last collection. */
   collect(): BucketCounters | undefined {
-    if (this.#asked === this.#reported) {
+    if (this.#requested === this.#requestedReported) {
       return undefined;
     }
-    this.#reported = this.#asked;
+    this.#requestedReported = this.#requested;
     this.#takenReported = this.#taken;
-    return { taken: this.#taken, asked: this.#asked };
+    return { taken: this.#taken, requested: this.#requested };
   }
 
   /**
-   * Takes the counters of another VM.
+   * Applies the counters of another VM.
    *
-   * @param followed Share of that VM's life, from 0 to 1, that this VM has followed the bucket. What
-   *   was taken before is part of the level that this VM began with.
+   * @param trackedShare Share of that VM's lifetime, from 0 to 1, during which this VM has tracked
+   *   the bucket. What was taken before is already part of the level with which this VM began.
    */
-  receive(vm: string, incarnation: string, counters: BucketCounters, followed: number): void {
-    const known = this.#others.get(vm);
-    const isSameLife = known?.incarnation === incarnation;
-    if (isSameLife && counters.asked < known.asked) {
+  receive(vm: string, incarnation: string, counters: BucketCounters, trackedShare: number): void {
+    const previous = this.#others.get(vm);
+    const isSameIncarnation = previous?.incarnation === incarnation;
+    if (isSameIncarnation && counters.requested < previous.requested) {
       return;
     }
-    const taken = isSameLife ? counters.taken - known.taken : counters.taken * followed;
-    const asked = isSameLife ? counters.asked - known.asked : counters.asked * followed;
+    const taken = isSameIncarnation
+      ? counters.taken - previous.taken
+      : counters.taken * trackedShare;
+    const requested = isSameIncarnation
+      ? counters.requested - previous.requested
+      : counters.requested * trackedShare;
     const now = kernel.getMonotonicMilliseconds();
-    const isReturning = isSameLife && now - known.heardAt > RETURN_AFTER_MILLISECONDS;
-    const paid = isReturning ? Math.min(Math.max(taken, 0), this.#withheld) : 0;
-    this.#withheld -= paid;
-    this.#others.set(vm, { incarnation, ...counters, heardAt: now });
+    const isBackInContact = isSameIncarnation &&
+      now - previous.lastReceivedAt > CONTACT_LOSS_MILLISECONDS;
+    const covered = isBackInContact ? Math.min(Math.max(taken, 0), this.#withheld) : 0;
+    this.#withheld -= covered;
+    this.#others.set(vm, { incarnation, ...counters, lastReceivedAt: now });
     this.#level = Math.max(
-      this.#level - taken + paid,
+      this.#level - taken + covered,
       -MAX_DEBT_IN_BURSTS * this.#burst - this.#allowance,
     );
-    this.#addDemand(0, Math.max(asked, 0));
+    this.#addDemand(0, Math.max(requested, 0));
   }
 
   #spend(): void {
--- a/packages/placement/test/placement_test.ts
+++ b/packages/placement/test/placement_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the belief in targets and of the choice among them, on the load that they answer.
+ * Tests of the health estimate, the choice of a target and the request queue.
  */
 
 import * as assert from "node:assert/strict";
@@ -17,10 +17,10 @@
     id: model.createTargetId(id),
     slots: 4,
     load: 0,
-    sickness: 0.02,
-    unobservedMilliseconds: 0,
-    evidenceAgeMilliseconds: changes.unobservedMilliseconds ?? 0,
-    slowness: 1,
+    failureProbability: 0.02,
+    sinceLastOutcomeMilliseconds: 0,
+    evidenceAgeMilliseconds: changes.sinceLastOutcomeMilliseconds ?? 0,
+    relativeProcessingTime: 1,
     isUnreachable: false,
     isRemote: false,
     warmUpMilliseconds: 0,
@@ -28,126 +28,147 @@
   };
 }
 
-const WRITE: placement.PlacementNeed = {
+const WRITE: placement.PlacementRequest = {
   mayRetry: false,
   objectiveMilliseconds: 500,
-  typicalMilliseconds: 200,
+  meanProcessingMilliseconds: 200,
   allowedOverflow: 1,
 };
 
-const READ: placement.PlacementNeed = { ...WRITE, mayRetry: true };
+const READ: placement.PlacementRequest = { ...WRITE, mayRetry: true };
 
 function choose(
   candidates: readonly placement.Candidate[],
-  need: placement.PlacementNeed,
+  request: placement.PlacementRequest,
   random = () => 0.6,
 ): string {
-  const choice = placement.chooseTarget(candidates, need, random);
+  const choice = placement.chooseTarget(candidates, request, random);
   return choice.kind === "chosen" ? choice.candidate.id : choice.kind;
 }
 
-test.describe("belief", () => {
-  test.test("one error makes a target doubted, one success trusted again", async () => {
+test.describe("health estimate", () => {
+  test.test("one error makes a target suspected, and one success makes it recover", async () => {
     const clock = new testing.TestClock();
     try {
-      const belief = new placement.TargetBelief();
-      belief.observe("success", clock.monotonicMilliseconds);
-      assert.ok(belief.sickness < 0.1, `after a success: ${belief.sickness}`);
+      const estimate = new placement.HealthEstimate();
+      estimate.recordOutcome("success", clock.monotonicMilliseconds);
+      assert.ok(
+        estimate.failureProbability < 0.1,
+        `after a success: ${estimate.failureProbability}`,
+      );
       await clock.advance(300);
-      belief.observe("error", clock.monotonicMilliseconds);
-      assert.ok(belief.sickness > 0.6, `after an error: ${belief.sickness}`);
+      estimate.recordOutcome("error", clock.monotonicMilliseconds);
+      assert.ok(
+        estimate.failureProbability > 0.6,
+        `after an error: ${estimate.failureProbability}`,
+      );
       await clock.advance(300);
-      belief.observe("success", clock.monotonicMilliseconds);
-      assert.ok(belief.sickness < 0.4, `after the next success: ${belief.sickness}`);
+      estimate.recordOutcome("success", clock.monotonicMilliseconds);
+      assert.ok(
+        estimate.failureProbability < 0.4,
+        `after the next success: ${estimate.failureProbability}`,
+      );
     } finally {
       clock.restore();
     }
   });
 
-  test.test("a success of a call that began before a failure proves nothing", async () => {
+  test.test("a success of a call that began before a failure is no evidence of recovery", async () => {
     const clock = new testing.TestClock();
     try {
-      const belief = new placement.TargetBelief();
+      const estimate = new placement.HealthEstimate();
       const longCallAt = clock.monotonicMilliseconds;
       await clock.advance(200);
-      belief.observe("error", clock.monotonicMilliseconds);
+      estimate.recordOutcome("error", clock.monotonicMilliseconds);
       await clock.advance(100);
-      belief.observe("success", longCallAt);
-      assert.ok(belief.sickness > 0.7, `after a late success: ${belief.sickness}`);
+      estimate.recordOutcome("success", longCallAt);
+      assert.ok(
+        estimate.failureProbability > 0.7,
+        `after a late success: ${estimate.failureProbability}`,
+      );
     } finally {
       clock.restore();
     }
   });
 
-  test.test("a call that has outlived the time of errors speaks for its target", async () => {
+  test.test("a call that outlasts the time of errors is evidence of a healthy target", async () => {
     const clock = new testing.TestClock();
     try {
-      const belief = new placement.TargetBelief();
-      belief.observe("error", clock.monotonicMilliseconds);
+      const estimate = new placement.HealthEstimate();
+      estimate.recordOutcome("error", clock.monotonicMilliseconds);
       await clock.advance(1_000);
-      const before = belief.sickness;
-      belief.observe("survived", clock.monotonicMilliseconds - 60);
-      assert.ok(belief.sickness < before / 1.5, `${before} to ${belief.sickness}`);
+      const before = estimate.failureProbability;
+      estimate.recordOutcome("survived", clock.monotonicMilliseconds - 60);
+      assert.ok(
+        estimate.failureProbability < before / 1.5,
+        `${before} to ${estimate.failureProbability}`,
+      );
     } finally {
       clock.restore();
     }
   });
 
-  test.test("the end of a long call is no news of the present", async () => {
+  test.test("the end of a long call is no evidence of the present state", async () => {
     const clock = new testing.TestClock();
     try {
-      const belief = new placement.TargetBelief();
+      const estimate = new placement.HealthEstimate();
       const startedAt = clock.monotonicMilliseconds;
       await clock.advance(60);
-      belief.observe("survived", startedAt);
+      estimate.recordOutcome("survived", startedAt);
       await clock.advance(2_000, 500);
-      belief.observe("success", startedAt);
-      assert.equal(belief.speaksOf, startedAt);
+      estimate.recordOutcome("success", startedAt);
+      assert.equal(estimate.evidenceAt, startedAt);
     } finally {
       clock.restore();
     }
   });
 
-  test.test("without news a belief drifts back within a few spells", async () => {
+  test.test("without outcomes an estimate drifts back within a few failure periods", async () => {
     const clock = new testing.TestClock();
     try {
-      const stationary = new placement.TargetBelief().sickness;
-      const belief = new placement.TargetBelief();
-      belief.observe("error", clock.monotonicMilliseconds, 3);
+      const stationary = new placement.HealthEstimate().failureProbability;
+      const estimate = new placement.HealthEstimate();
+      estimate.recordOutcome("error", clock.monotonicMilliseconds, 3);
       await clock.advance(15_000, 500);
-      assert.ok(Math.abs(belief.sickness - stationary) < 0.01);
+      assert.ok(Math.abs(estimate.failureProbability - stationary) < 0.01);
     } finally {
       clock.restore();
     }
   });
 
-  test.test("a single lost answer does not condemn a target that serves", () => {
-    const belief = new placement.TargetBelief();
-    belief.observe("success", performance.now(), 5);
-    belief.observe("broken", performance.now());
-    assert.ok(belief.sickness < 0.5, `after a lost answer: ${belief.sickness}`);
+  test.test("a single lost response does not make a healthy target suspected", () => {
+    const estimate = new placement.HealthEstimate();
+    estimate.recordOutcome("success", performance.now(), 5);
+    estimate.recordOutcome("broken", performance.now());
+    assert.ok(
+      estimate.failureProbability < 0.5,
+      `after a lost response: ${estimate.failureProbability}`,
+    );
   });
 });
 
 test.describe("choice of a target", () => {
-  test.test("a request that must not fail goes to the target that proved well", () => {
-    const doubted = createCandidate("doubted", { sickness: 0.4 });
-    const busyButWell = createCandidate("well", { load: 3 });
-    assert.equal(choose([doubted, busyButWell], WRITE), "well");
+  test.test("a request that may not be retried goes to the target with recent successes", () => {
+    const suspected = createCandidate("suspected", { failureProbability: 0.4 });
+    const busyButHealthy = createCandidate("well", { load: 3 });
+    assert.equal(choose([suspected, busyButHealthy], WRITE), "well");
   });
 
-  test.test("a repeatable request looks after a doubtful target that nobody looks after", () => {
-    const doubted = createCandidate("doubted", { sickness: 0.4, unobservedMilliseconds: 900 });
-    const well = createCandidate("well");
-    assert.equal(choose([doubted, well], READ, () => 0.1), "doubted");
-    const watched = { ...doubted, load: 1 };
-    assert.equal(choose([watched, well], READ, () => 0.1), "well");
-    const busyForLong = { ...watched, evidenceAgeMilliseconds: 1_300 };
-    assert.equal(choose([busyForLong, well], READ, () => 0.1), "doubted");
+  test.test("a retryable request probes a suspected target that no other request probes", () => {
+    const suspected = createCandidate("suspected", {
+      failureProbability: 0.4,
+      sinceLastOutcomeMilliseconds: 900,
+    });
+    const healthy = createCandidate("well");
+    assert.equal(choose([suspected, healthy], READ, () => 0.1), "suspected");
+    const probed = { ...suspected, load: 1 };
+    assert.equal(choose([probed, healthy], READ, () => 0.1), "well");
+    const busyForLong = { ...probed, evidenceAgeMilliseconds: 1_300 };
+    assert.equal(choose([busyForLong, healthy], READ, () => 0.1), "suspected");
   });
 
-  test.test("a fleet that nobody has told anything looks after most targets within two seconds", () => {
-    // 62 repeatable requests a second over 70 targets; a choice is known to the other VMs 300 ms later.
+  test.test("a fleet without any evidence probes most targets within two seconds", () => {
+    // 62 retryable requests a second over 70 targets; the other VMs know of a choice after 300 ms.
     const random = randoms.createRandom(7);
     const chosenAt = new Map<string, number>();
     const targets = Array.from({ length: 70 }, (_, index) => `target-${index}`);
@@ -157,30 +178,34 @@
         const first = chosenAt.get(id);
         const isKnown = first !== undefined && first + 300 <= at;
         return createCandidate(id, {
-          sickness: isKnown ? 0.08 : 0.28,
-          unobservedMilliseconds: isKnown ? at - first : Number.POSITIVE_INFINITY,
+          failureProbability: isKnown ? 0.08 : 0.28,
+          sinceLastOutcomeMilliseconds: isKnown ? at - first : Number.POSITIVE_INFINITY,
         });
       });
       const id = choose(candidates, READ, random);
       chosenAt.set(id, chosenAt.get(id) ?? at);
     }
-    assert.ok(chosenAt.size >= 0.5 * targets.length, `${chosenAt.size} were looked after`);
+    assert.ok(chosenAt.size >= 0.5 * targets.length, `${chosenAt.size} were probed`);
   });
 
-  test.test("a service that gets few requests, none repeatable, still uses most of its targets", () => {
-    // Ten requests a second over six targets that are well; one would do for all of them.
+  test.test("a service that gets few requests, none retryable, still uses most of its targets", () => {
+    // Ten requests a second over six healthy targets; one target could serve all of them.
     const random = randoms.createRandom(3);
-    const heardAt = new Map<string, number>();
+    const lastOutcomeAt = new Map<string, number>();
     const chosenAt: { id: string; at: number }[] = [];
     const targets = Array.from({ length: 6 }, (_, index) => `target-${index}`);
     for (let at = 0; at < 20_000; at += 100) {
       const candidates = targets.map((id) => {
-        const unobservedMilliseconds = at - (heardAt.get(id) ?? Number.NEGATIVE_INFINITY);
-        const drift = Math.exp(-unobservedMilliseconds / 1_950);
-        return createCandidate(id, { sickness: 0.28 * (1 - drift), unobservedMilliseconds });
+        const sinceLastOutcomeMilliseconds = at -
+          (lastOutcomeAt.get(id) ?? Number.NEGATIVE_INFINITY);
+        const drift = Math.exp(-sinceLastOutcomeMilliseconds / 1_950);
+        return createCandidate(id, {
+          failureProbability: 0.28 * (1 - drift),
+          sinceLastOutcomeMilliseconds,
+        });
       });
       const id = choose(candidates, WRITE, random);
-      heardAt.set(id, at);
+      lastOutcomeAt.set(id, at);
       chosenAt.push({ id, at });
     }
     for (let from = 2_000; from <= 18_000; from += 500) {
@@ -191,8 +216,8 @@
     }
   });
 
-  test.test("few repeatable requests look after each of seven doubtful targets in time", () => {
-    // Seven a second; a choice is known to the others 300 ms later.
+  test.test("few retryable requests probe each of seven targets without recent outcomes in time", () => {
+    // Seven requests a second; the other VMs know of a choice after 300 ms.
     const random = randoms.createRandom(11);
     const chosenAt = new Map<string, number>();
     let passedOver = 0;
@@ -201,30 +226,30 @@
       const candidates = Array.from({ length: 7 }, (_, index) => {
         const id = `target-${index}`;
         const last = chosenAt.get(id) ?? Number.NEGATIVE_INFINITY;
-        const unobservedMilliseconds = last + 300 <= at ? at - last : 2_000;
+        const sinceLastOutcomeMilliseconds = last + 300 <= at ? at - last : 2_000;
         passedOver += last + 2_500 < at && last > 0 ? 1 : 0;
-        return createCandidate(id, { sickness: 0.28, unobservedMilliseconds });
+        return createCandidate(id, { failureProbability: 0.28, sinceLastOutcomeMilliseconds });
       });
       chosenAt.set(choose(candidates, READ, random), at);
     }
-    assert.ok(passedOver < 0.02 * 7 * 700, `${passedOver} times passed over for 2.5 s`);
+    assert.ok(passedOver < 0.02 * 7 * 700, `${passedOver} times without a request for 2.5 s`);
   });
 
-  test.test("targets that are busy with long work are looked after like others", () => {
-    // Twenty reads of one to three seconds over 14 targets each second, heard of 150 ms later.
+  test.test("targets that are busy with long calls are probed like others", () => {
+    // Twenty reads a second, of one to three seconds each, over 14 targets; known 150 ms later.
     const random = randoms.createRandom(5);
     const calls: { readonly id: string; readonly at: number; readonly endsAt: number }[] = [];
     const targets = Array.from({ length: 14 }, (_, index) => `target-${index}`);
     for (let at = 0; at < 20_000; at += 50) {
-      const heard = calls.filter((call) => call.at <= at - 150);
+      const received = calls.filter((call) => call.at <= at - 150);
       const candidates = targets.map((id) => {
-        const known = heard.filter((call) => call.id === id);
+        const known = received.filter((call) => call.id === id);
         const evidenceAgeMilliseconds = Math.min(...known.map((call) => at - call.at));
         return createCandidate(id, {
           slots: 12,
           load: known.filter((call) => call.endsAt > at - 150).length,
-          sickness: 0.28 * (1 - Math.exp(-evidenceAgeMilliseconds / 1_950)),
-          unobservedMilliseconds: Math.min(
+          failureProbability: 0.28 * (1 - Math.exp(-evidenceAgeMilliseconds / 1_950)),
+          sinceLastOutcomeMilliseconds: Math.min(
             ...known.map((call) =>
               at - 150 - (call.endsAt <= at - 150 ? call.endsAt : call.at + 60)
             ),
@@ -232,7 +257,7 @@
           evidenceAgeMilliseconds,
         });
       });
-      // The rest goes to the targets of its own data centre, the first four.
+      // Requests that do not probe go to the targets of their own data centre, the first four.
       const id = choose(
         candidates.map((candidate, index) => ({ ...candidate, isRemote: index >= 4 })),
         READ,
@@ -248,19 +273,25 @@
     }
   });
 
-  test.test("a request that may not be repeated does not look after a target that has failed", () => {
-    const failed = createCandidate("failed", { sickness: 0.6, unobservedMilliseconds: 5_000 });
-    const unknown = createCandidate("unknown", { sickness: 0.28, unobservedMilliseconds: 5_000 });
+  test.test("a request that may not be retried does not probe a target that has failed", () => {
+    const failed = createCandidate("failed", {
+      failureProbability: 0.6,
+      sinceLastOutcomeMilliseconds: 5_000,
+    });
+    const unknown = createCandidate("unknown", {
+      failureProbability: 0.28,
+      sinceLastOutcomeMilliseconds: 5_000,
+    });
     assert.equal(choose([failed, createCandidate("well")], WRITE, () => 0.1), "well");
     assert.equal(choose([unknown, createCandidate("well")], WRITE, () => 0.1), "unknown");
   });
 
-  test.test("a full target gets nothing", () => {
+  test.test("a full target gets no request", () => {
     assert.equal(choose([createCandidate("full", { load: 5 })], WRITE), "full");
     assert.equal(choose([], WRITE), "none");
   });
 
-  test.test("load spreads before slots run out", () => {
+  test.test("load is spread before slots run out", () => {
     const counts = new Map<string, number>();
     const loads = new Map(["a", "b", "c"].map((id) => [id, 0]));
     for (let request = 0; request < 9; request++) {
@@ -272,25 +303,25 @@
     assert.deepEqual([...counts.values()].sort(), [3, 3, 3]);
   });
 
-  test.test("a target that cannot be reached from here is the last resort", () => {
-    const cut = createCandidate("cut", { isUnreachable: true });
-    const sick = createCandidate("sick", { sickness: 0.9 });
-    assert.equal(choose([cut, sick], WRITE), "sick");
-    assert.equal(choose([cut], WRITE), "cut");
+  test.test("a target that this VM cannot reach is chosen last", () => {
+    const unreachable = createCandidate("unreachable", { isUnreachable: true });
+    const failing = createCandidate("failing", { failureProbability: 0.9 });
+    assert.equal(choose([unreachable, failing], WRITE), "failing");
+    assert.equal(choose([unreachable], WRITE), "unreachable");
   });
 });
 
-test.describe("waiting line", () => {
-  test.test("the most urgent is placed first, whoever waits too long is told", async () => {
+test.describe("request queue", () => {
+  test.test("the highest priority is placed first, and requests that wait too long time out", async () => {
     const clock = new testing.TestClock();
     try {
-      const line = new placement.WaitingLine();
+      const queue = new placement.RequestQueue();
       const events: string[] = [];
       let room = 0;
       const add = (name: string, priority: number, waitUntil: number) =>
-        line.add({
+        queue.add({
           priority,
-          takesAnyTarget: true,
+          acceptsAnyTarget: true,
           waitUntil,
           tryPlace: () => {
             if (room === 0) {
@@ -300,7 +331,7 @@
             events.push(`${name} placed`);
             return true;
           },
-          giveUp: () => events.push(`${name} gave up`),
+          onTimeout: () => events.push(`${name} timed out`),
         });
       const now = clock.monotonicMilliseconds;
       add("late", 2, now + 100);
@@ -311,45 +342,45 @@
       await clock.advance(50);
       room = 1;
       await clock.advance(50);
-      assert.deepEqual(events, ["late gave up", "write placed", "read placed"]);
-      assert.equal(line.length, 0);
+      assert.deepEqual(events, ["late timed out", "write placed", "read placed"]);
+      assert.equal(queue.length, 0);
     } finally {
       clock.restore();
     }
   });
 
-  test.test("room is looked for once for all that take any target, and for each other one", () => {
-    const line = new placement.WaitingLine();
-    const looked: string[] = [];
+  test.test("room is sought once for all requests that accept any target, and for each other one", () => {
+    const queue = new placement.RequestQueue();
+    const tried: string[] = [];
     const placed = new Set<string>();
-    const add = (name: string, takesAnyTarget: boolean) => {
-      const waiter: placement.Waiter = {
+    const add = (name: string, acceptsAnyTarget: boolean) => {
+      const request: placement.QueuedRequest = {
         priority: 1,
-        takesAnyTarget,
+        acceptsAnyTarget,
         waitUntil: Number.POSITIVE_INFINITY,
         tryPlace: () => {
-          looked.push(name);
+          tried.push(name);
           return placed.has(name);
         },
-        giveUp: () => assert.fail("it waits without end"),
+        onTimeout: () => assert.fail("the request has no time limit"),
       };
-      line.add(waiter);
-      return waiter;
+      queue.add(request);
+      return request;
     };
-    const waiters = [
-      add("tried one", false),
-      add("fresh", true),
-      add("fresh too", true),
-      add("tried another", false),
+    const requests = [
+      add("tried a target", false),
+      add("new", true),
+      add("also new", true),
+      add("tried another target", false),
     ];
-    line.advance();
-    // Whoever has tried a target may find no room where a fresh request does; not the other way.
-    assert.deepEqual(looked, ["tried one", "fresh"]);
-    placed.add("fresh");
-    looked.length = 0;
-    line.advance();
-    assert.deepEqual(looked, ["tried one", "fresh", "fresh too"]);
-    assert.equal(line.length, 3);
-    waiters.forEach((waiter) => line.remove(waiter));
+    queue.advance();
+    // A request that has tried a target may find no room where a new one does, but not vice versa.
+    assert.deepEqual(tried, ["tried a target", "new"]);
+    placed.add("new");
+    tried.length = 0;
+    queue.advance();
+    assert.deepEqual(tried, ["tried a target", "new", "also new"]);
+    assert.equal(queue.length, 3);
+    requests.forEach((request) => queue.remove(request));
   });
 });
--- a/packages/placement/test/random.ts
+++ b/packages/placement/test/random.ts
@@ -1,5 +1,5 @@
 /**
- * Numbers from 0 to 1 that depend on a seed only.
+ * Pseudorandom numbers from 0 to 1, determined by a seed.
  */
 
 export function createRandom(seed: number): () => number {
--- a/packages/placement/test/shared_bucket_test.ts
+++ b/packages/placement/test/shared_bucket_test.ts
@@ -1,5 +1,6 @@
 /**
- * Tests of the shared bucket against one token bucket that sees every admission of every VM.
+ * Tests of the shared bucket against the bound of one token bucket that sees every admission of
+ * every VM.
  */
 
 import * as assert from "node:assert/strict";
@@ -11,67 +12,73 @@
 
 const STEP_MILLISECONDS = 50;
 
-/** Steps after which a VM's counters reach the others: a tick and two relays, or at once. */
+/**
+ * Steps after which a VM's counters reach the others: a tick and two relays, or an urgent report.
+ */
 const DELAY_STEPS = 4;
 const URGENT_DELAY_STEPS = 1;
 
-/** What the mesh states for it: its interval and two ticks. */
-const NEWS_MILLISECONDS = 300;
+/** The propagation delay that the mesh reports: its interval and two ticks. */
+const PROPAGATION_MILLISECONDS = 300;
 
 interface World {
   readonly vms: number;
   readonly rate: number;
   readonly burst: number;
-  /** Requests a second over all VMs. */
+  /** Requests a second of all VMs together. */
   readonly demand: number;
   readonly seconds: number;
-  /** Share of the demand that enters the first VM. */
+  /** Share of the demand that arrives at the first VM. */
   readonly skew: number;
   readonly seed: number;
-  /** One VM after the other is replaced in this interval; none without it. */
+  /** The VMs are replaced in turn, one in each interval of this length; none if undefined. */
   readonly replaceMilliseconds?: number;
-  /** Between these times the first half of the fleet hears nothing of the second half. */
-  readonly cutMilliseconds?: readonly [from: number, to: number];
+  /** Between these times the two halves of the fleet receive nothing from each other. */
+  readonly partitionMilliseconds?: readonly [from: number, to: number];
 }
 
-/** One VM of the played fleet. */
-interface PlayedVm {
+/** One VM of the simulated fleet. */
+interface SimulatedVm {
   bucket: placement.SharedBucket;
-  life: number;
+  incarnation: number;
   startedAtStep: number;
 }
 
-interface Played {
+interface SimulationResult {
   readonly admittedAt: readonly number[];
-  readonly asked: number;
+  readonly requested: number;
 }
 
-/** Plays a fleet on a paused clock; counters travel with a delay. */
-async function play(world: World, clock: testing.TestClock): Promise<Played> {
+/** Simulates a fleet on a test clock; counters arrive with a delay. */
+async function simulate(world: World, clock: testing.TestClock): Promise<SimulationResult> {
   const random = randoms.createRandom(world.seed);
-  const fleet = Array.from({ length: world.vms }, (): PlayedVm => ({
+  const fleet = Array.from({ length: world.vms }, (): SimulatedVm => ({
     bucket: new placement.SharedBucket(world.burst, world.burst, 0),
-    life: 1,
+    incarnation: 1,
     startedAtStep: 0,
   }));
-  let underWay: { at: number; from: number; life: number; counters: placement.BucketCounters }[] =
-    [];
+  let inTransit: {
+    at: number;
+    from: number;
+    incarnation: number;
+    counters: placement.BucketCounters;
+  }[] = [];
   const admittedAt: number[] = [];
-  let asked = 0;
+  let requested = 0;
   const steps = world.seconds * 1_000 / STEP_MILLISECONDS;
-  const send = ({ bucket, life }: PlayedVm, from: number, at: number) => {
+  const send = ({ bucket, incarnation }: SimulatedVm, from: number, at: number) => {
     const counters = bucket.collect();
     if (counters !== undefined) {
-      underWay.push({ at, from, life, counters });
+      inTransit.push({ at, from, incarnation, counters });
     }
   };
   for (let step = 0; step < steps; step++) {
     await clock.advance(STEP_MILLISECONDS, STEP_MILLISECONDS);
-    const isCut = isCutAt(world, step);
+    const isPartitioned = isPartitionedAt(world, step);
     const presence = {
-      present: isCut ? world.vms / 2 : world.vms,
+      present: isPartitioned ? world.vms / 2 : world.vms,
       expected: world.vms,
-      newsMilliseconds: NEWS_MILLISECONDS,
+      propagationMilliseconds: PROPAGATION_MILLISECONDS,
     };
     replaceOne(fleet, world, step);
     fleet.forEach(({ bucket }) => bucket.refill(world.rate * STEP_MILLISECONDS / 1_000, presence));
@@ -79,7 +86,7 @@
     const arrivals = Math.floor(expected) + (random() < expected % 1 ? 1 : 0);
     for (let arrival = 0; arrival < arrivals; arrival++) {
       const index = random() < world.skew ? 0 : Math.floor(random() * world.vms);
-      asked++;
+      requested++;
       const vm = fleet[index] ?? assert.fail();
       if (vm.bucket.take()) {
         admittedAt.push(step * STEP_MILLISECONDS);
@@ -89,29 +96,29 @@
       }
     }
     fleet.forEach((vm, from) => send(vm, from, step + DELAY_STEPS));
-    const due = underWay.filter((message) => message.at <= step);
-    underWay = underWay.filter((message) => message.at > step);
-    for (const { from, life, counters } of due) {
+    const due = inTransit.filter((message) => message.at <= step);
+    inTransit = inTransit.filter((message) => message.at > step);
+    for (const { from, incarnation, counters } of due) {
       fleet.forEach((vm, to) => {
         const isBetweenHalves = (from < world.vms / 2) !== (to < world.vms / 2);
-        if (to !== from && !(isCut && isBetweenHalves)) {
+        if (to !== from && !(isPartitioned && isBetweenHalves)) {
           const age = step - (fleet[from]?.startedAtStep ?? 0);
-          const followed = Math.min(1, (step - vm.startedAtStep) / Math.max(age, 1));
-          vm.bucket.receive(`vm-${from}`, String(life), counters, followed);
+          const trackedShare = Math.min(1, (step - vm.startedAtStep) / Math.max(age, 1));
+          vm.bucket.receive(`vm-${from}`, String(incarnation), counters, trackedShare);
         }
       });
     }
   }
-  return { admittedAt, asked };
+  return { admittedAt, requested };
 }
 
-function isCutAt(world: World, step: number): boolean {
-  const [from, to] = world.cutMilliseconds ?? [0, 0];
+function isPartitionedAt(world: World, step: number): boolean {
+  const [from, to] = world.partitionMilliseconds ?? [0, 0];
   return step * STEP_MILLISECONDS >= from && step * STEP_MILLISECONDS < to;
 }
 
-/** Replaces the VM whose turn it is by one that takes the level from its neighbour. */
-function replaceOne(fleet: readonly PlayedVm[], world: World, step: number): void {
+/** Replaces the VM whose turn it is by one that adopts its neighbour's level. */
+function replaceOne(fleet: readonly SimulatedVm[], world: World, step: number): void {
   const at = step * STEP_MILLISECONDS;
   if (world.replaceMilliseconds === undefined || step === 0 || at % world.replaceMilliseconds > 0) {
     return;
@@ -121,7 +128,7 @@
   const neighbour = fleet[(index + 1) % world.vms] ?? assert.fail();
   vm.bucket = new placement.SharedBucket(world.burst, 0, 0);
   vm.bucket.adoptLevel(neighbour.bucket.level);
-  vm.life++;
+  vm.incarnation++;
   vm.startedAtStep = step;
 }
 
@@ -163,7 +170,7 @@
             seed: fc.nat(),
           }),
           async (world) => {
-            const { admittedAt } = await play(world, clock);
+            const { admittedAt } = await simulate(world, clock);
             const bound = (world.rate * 5 + world.burst) * 1.25 + 20;
             const most = countBusiestWindow(admittedAt, 5_000);
             assert.ok(most <= bound, `${most} admitted in 5 s, at most ${bound} are allowed`);
@@ -177,15 +184,15 @@
   test.test("a workspace well within its rate is not refused", async () => {
     await withClock(async (clock) => {
       const world = { vms: 32, rate: 40, burst: 40, demand: 25, seconds: 20, skew: 0.1, seed: 5 };
-      const { admittedAt, asked } = await play(world, clock);
-      assert.equal(asked - admittedAt.length, 0);
+      const { admittedAt, requested } = await simulate(world, clock);
+      assert.equal(requested - admittedAt.length, 0);
     });
   });
 
-  test.test("a workspace far beyond its rate still gets nearly all of it", async () => {
+  test.test("a workspace far beyond its rate still gets nearly its full rate", async () => {
     await withClock(async (clock) => {
       const world = { vms: 32, rate: 40, burst: 40, demand: 300, seconds: 20, skew: 0, seed: 6 };
-      const { admittedAt } = await play(world, clock);
+      const { admittedAt } = await simulate(world, clock);
       const allowed = world.rate * world.seconds + world.burst;
       assert.ok(admittedAt.length >= allowed * 0.9, `${admittedAt.length} of ${allowed}`);
     });
@@ -194,15 +201,18 @@
   test.test("a workspace well within its rate is not refused while VMs are replaced", async () => {
     await withClock(async (clock) => {
       const world = { vms: 32, rate: 67, burst: 67, demand: 40, seconds: 30, skew: 0, seed: 8 };
-      const { admittedAt, asked } = await play({ ...world, replaceMilliseconds: 1_000 }, clock);
-      assert.equal(asked - admittedAt.length, 0);
+      const { admittedAt, requested } = await simulate(
+        { ...world, replaceMilliseconds: 1_000 },
+        clock,
+      );
+      assert.equal(requested - admittedAt.length, 0);
     });
   });
 
-  test.test("VMs that are replaced keep a workspace far beyond its rate to it", async () => {
+  test.test("VMs that are replaced still enforce the rate of a workspace far beyond it", async () => {
     await withClock(async (clock) => {
       const world = { vms: 32, rate: 20, burst: 20, demand: 200, seconds: 20, skew: 0, seed: 9 };
-      const { admittedAt } = await play({ ...world, replaceMilliseconds: 500 }, clock);
+      const { admittedAt } = await simulate({ ...world, replaceMilliseconds: 500 }, clock);
       const bound = (world.rate * 5 + world.burst) * 1.25 + 20;
       const most = countBusiestWindow(admittedAt, 5_000);
       assert.ok(most <= bound, `${most} admitted in 5 s, at most ${bound} are allowed`);
@@ -212,27 +222,31 @@
   test.test("a workspace well within its rate is not refused when a partition heals", async () => {
     await withClock(async (clock) => {
       const world = { vms: 32, rate: 40, burst: 40, demand: 30, seconds: 20, skew: 0, seed: 10 };
-      const { admittedAt, asked } = await play(
-        { ...world, cutMilliseconds: [4_000, 14_000] },
+      const { admittedAt, requested } = await simulate(
+        { ...world, partitionMilliseconds: [4_000, 14_000] },
         clock,
       );
-      assert.equal(asked - admittedAt.length, 0);
+      assert.equal(requested - admittedAt.length, 0);
     });
   });
 
-  test.test("VMs that are not heard keep their share", () => {
-    const cut = new placement.SharedBucket(40, 0, 0);
+  test.test("VMs that are out of contact keep their share", () => {
+    const isolated = new placement.SharedBucket(40, 0, 0);
     for (let step = 0; step < 100; step++) {
-      cut.refill(1, { present: 1, expected: 40, newsMilliseconds: NEWS_MILLISECONDS });
+      isolated.refill(1, {
+        present: 1,
+        expected: 40,
+        propagationMilliseconds: PROPAGATION_MILLISECONDS,
+      });
     }
-    assert.ok(cut.level <= 2.5 + 1e-9, `level ${cut.level}`);
+    assert.ok(isolated.level <= 2.5 + 1e-9, `level ${isolated.level}`);
   });
 
-  test.test("a VM's new life begins to count anew", () => {
+  test.test("the counters of a VM's new incarnation start from zero", () => {
     const bucket = new placement.SharedBucket(100, 100, 0);
-    bucket.receive("vm", "1", { taken: 30, asked: 30 }, 1);
-    bucket.receive("vm", "1", { taken: 40, asked: 40 }, 1);
-    bucket.receive("vm", "2", { taken: 5, asked: 5 }, 1);
+    bucket.receive("vm", "1", { taken: 30, requested: 30 }, 1);
+    bucket.receive("vm", "1", { taken: 40, requested: 40 }, 1);
+    bucket.receive("vm", "2", { taken: 5, requested: 5 }, 1);
     assert.equal(bucket.level, 55);
   });
 });
