--- a/packages/proxy/src/admission.ts
+++ b/packages/proxy/src/admission.ts
@@ -1,5 +1,5 @@
 /**
- * The checks of a request's head: route, key and rate, against the declarations in force.
+ * Checks the head of a request: its route, key and rate, against the declarations in force.
  */
 
 import type * as http from "node:http";
@@ -12,25 +12,30 @@
 import type * as log from "./request_log.ts";
 import type * as types from "./types.ts";
 
-/** A caller that names no deadline is given this time, unless the route has a time-out. */
+/** Deadline of a request without a deadline header, unless its route has a timeout. */
 const DEFAULT_DEADLINE_MILLISECONDS = 30_000;
 
-/** The final answer leaves so long before the caller's deadline, for its way back. */
+/**
+ * Time before the caller's deadline at which the final response is sent, to allow for its way back.
+ */
 const ANSWER_MARGIN_MILLISECONDS = 5;
 
-/** Without an answer of the store for so long, what is unknown here may be known elsewhere. */
+/**
+ * After this time without a response from the store to any VM, something unknown to this VM may be
+ * known to others.
+ */
 const CONFIRMED_FOR_MILLISECONDS = 3_000;
 
-/** Accepts a request, or says why not. Nothing has run when it refuses. */
+/** Accepts a request, or returns why not. A refused request has not run anywhere. */
 export function acceptRequest(
   context: contexts.RequestContext,
   request: http.IncomingMessage,
-  story: log.RequestStory,
+  trace: log.RequestTrace,
 ): types.AcceptedRequest | refusals.Refusal {
-  const { profile, store, budgets: shared } = context;
+  const { profile, store, budgets } = context;
   const view = store.current;
   if (view === undefined) {
-    return refuseUnknown(context, story, { status: 503, reason: "no_declarations" });
+    return refuseUnknown(context, trace, { status: 503, reason: "no_declarations" });
   }
   if (headers.countHeadBytes(request) > view.declarations.limits.headerBytes) {
     return { status: 431, reason: "head_too_large" };
@@ -42,18 +47,18 @@
     query < 0 ? path : path.slice(0, query),
   );
   if (route === undefined) {
-    return refuseUnknown(context, story, { status: 404, reason: "unknown_route" });
+    return refuseUnknown(context, trace, { status: 404, reason: "unknown_route" });
   }
   let workspace: declarations.DeclaredWorkspace | undefined;
   if (view.hasKeys && !route.isPublic) {
     const key = headers.findKey(request, profile);
     workspace = key === undefined ? undefined : view.findWorkspace(key);
     if (workspace === undefined) {
-      return refuseUnknown(context, story, { status: 401, reason: "unknown_key" });
+      return refuseUnknown(context, trace, { status: 401, reason: "unknown_key" });
     }
   }
-  if (workspace !== undefined && !shared.takeRate(workspace)) {
-    story.add("over_rate", shared.describeRate(workspace));
+  if (workspace !== undefined && !budgets.takeRate(workspace)) {
+    trace.add("over_rate", budgets.describeRate(workspace));
     return {
       status: 429,
       reason: "over_rate",
@@ -61,14 +66,14 @@
     };
   }
   const service = chooseDestination(route.destinations);
-  const arrivedAt = story.arrivedAt;
-  const stated = headers.parseMilliseconds(request.headers[profile.deadline]);
+  const arrivedAt = trace.arrivedAt;
+  const callerDeadline = headers.parseMilliseconds(request.headers[profile.deadline]);
   const left = Math.min(
-    stated === undefined ? Infinity : stated - ANSWER_MARGIN_MILLISECONDS,
+    callerDeadline === undefined ? Infinity : callerDeadline - ANSWER_MARGIN_MILLISECONDS,
     route.timeoutMilliseconds ?? Infinity,
-    stated ?? route.timeoutMilliseconds ?? DEFAULT_DEADLINE_MILLISECONDS,
+    callerDeadline ?? route.timeoutMilliseconds ?? DEFAULT_DEADLINE_MILLISECONDS,
   );
-  story.add("accepted", {
+  trace.add("accepted", {
     route: route.id,
     service,
     workspace: workspace?.id,
@@ -77,7 +82,7 @@
     confirmedAge: Math.round(arrivedAt - context.getConfirmedAt()),
   });
   return {
-    id: story.id,
+    id: trace.id,
     route,
     workspace,
     service,
@@ -90,15 +95,18 @@
   };
 }
 
-/** A VM that may have missed a version does not say that something is unknown. */
+/**
+ * Refuses a request whose route, key or declarations are unknown. A VM that may have missed a
+ * version does not claim that something is unknown, but responds that it is unavailable.
+ */
 function refuseUnknown(
   context: contexts.RequestContext,
-  story: log.RequestStory,
+  trace: log.RequestTrace,
   refusal: refusals.Refusal,
 ): refusals.Refusal {
   const view = context.store.current;
   const age = kernel.getMonotonicMilliseconds() - context.getConfirmedAt();
-  story.add("unknown", {
+  trace.add("unknown", {
     finding: refusal.reason,
     version: view?.declarations.version,
     confirmedAge: Number.isFinite(age) ? Math.round(age) : undefined,
@@ -111,7 +119,7 @@
   };
 }
 
-/** Draws one of a route's services by their weights. */
+/** Draws one of a route's services at random, by their weights. */
 function chooseDestination(destinations: readonly declarations.Destination[]): model.ServiceId {
   const total = destinations.reduce((sum, destination) => sum + destination.weight, 0);
   let left = Math.random() * total;
--- a/packages/proxy/src/body.ts
+++ b/packages/proxy/src/body.ts
@@ -1,52 +1,54 @@
 /**
- * The body of a request: short ones are held, so that a request can be sent again; the rest of a
- * long one is streamed to the first target.
+ * The body of a request. Short bodies are buffered, so that the request can be sent again; the rest
+ * of a long body is streamed to the first target.
  */
 
 import type * as http from "node:http";
 
-/** Bodies up to this size are held. */
-const HELD_BODY_BYTES = 262_144;
+/** Bodies up to this size are buffered. */
+const MAX_BUFFERED_BODY_BYTES = 262_144;
 
-/** A body that is held, or whose beginning is. */
+/** A body that is buffered completely, or whose beginning is. */
 export class RequestBody {
   readonly #chunks: readonly Buffer[];
   readonly #rest: http.IncomingMessage | undefined;
-  readonly #statedLength: number | undefined;
+  readonly #contentLength: number | undefined;
   #isSent = false;
-  /** Aborted once a body of unknown length has grown beyond the limit. */
+  /** Aborted once a body of unknown length exceeds the limit. */
   readonly tooLarge: AbortSignal | undefined;
 
-  /** @param rest What is still to come of a long body, with `tooLarge` to watch it. */
+  /**
+   * @param rest The unread rest of a long body. `tooLarge` is aborted when it exceeds the limit.
+   */
   constructor(
     chunks: readonly Buffer[],
-    statedLength: number | undefined,
+    contentLength: number | undefined,
     rest?: http.IncomingMessage,
     tooLarge?: AbortSignal,
   ) {
     this.#chunks = chunks;
-    this.#statedLength = statedLength;
+    this.#contentLength = contentLength;
     this.#rest = rest;
     this.tooLarge = tooLarge;
   }
 
-  /** Whether it can be sent more than once. */
-  get isHeld(): boolean {
+  /** Whether the body can be sent more than once. */
+  get isBuffered(): boolean {
     return this.#rest === undefined;
   }
 
-  /** Whether all of it was handed to the connection of the latest attempt. */
+  /** Whether the complete body was written to the connection of the latest attempt. */
   get isSent(): boolean {
     return this.#isSent;
   }
 
-  /** Length in bytes; undefined for none, or for a long one of unknown length. */
+  /** Length in bytes; undefined without a body, or for a long one of unknown length. */
   get length(): number | undefined {
     if (this.#rest !== undefined) {
-      return this.#statedLength;
+      return this.#contentLength;
     }
     const bytes = this.#chunks.reduce((sum, chunk) => sum + chunk.length, 0);
-    return bytes > 0 || this.#statedLength !== undefined ? bytes : undefined;
+    return bytes > 0 || this.#contentLength !== undefined ? bytes : undefined;
   }
 
   sendTo(outgoing: http.ClientRequest): void {
@@ -68,21 +70,21 @@
   }
 }
 
-/** What came of reading a body. */
+/** Result of reading a body. */
 export type BodyResult =
   | { readonly kind: "read"; readonly body: RequestBody }
   | { readonly kind: "too_large" }
-  | { readonly kind: "broken_off" };
+  | { readonly kind: "aborted" };
 
-/** Reads a body until its end or until it is too long to be held. */
+/** Reads a body until its end or until it is too long to be buffered. */
 export function readBody(request: http.IncomingMessage, limitBytes: number): Promise<BodyResult> {
-  const statedLength = request.headers["content-length"] === undefined
+  const contentLength = request.headers["content-length"] === undefined
     ? undefined
     : Number(request.headers["content-length"]);
-  if (statedLength !== undefined && statedLength > limitBytes) {
+  if (contentLength !== undefined && contentLength > limitBytes) {
     return Promise.resolve({ kind: "too_large" });
   }
-  const hasBody = statedLength !== undefined || request.headers["transfer-encoding"] !== undefined;
+  const hasBody = contentLength !== undefined || request.headers["transfer-encoding"] !== undefined;
   if (!hasBody) {
     request.resume();
     return Promise.resolve({ kind: "read", body: new RequestBody([], undefined) });
@@ -101,21 +103,21 @@
       bytes += chunk.length;
       if (bytes > limitBytes) {
         settle({ kind: "too_large" });
-      } else if (bytes > HELD_BODY_BYTES) {
+      } else if (bytes > MAX_BUFFERED_BODY_BYTES) {
         request.pause();
         const tooLarge = watchLength(request, limitBytes - bytes);
-        settle({ kind: "read", body: new RequestBody(chunks, statedLength, request, tooLarge) });
+        settle({ kind: "read", body: new RequestBody(chunks, contentLength, request, tooLarge) });
       }
     };
-    const onEnd = () => settle({ kind: "read", body: new RequestBody(chunks, statedLength) });
-    const onClose = () => settle({ kind: "broken_off" });
+    const onEnd = () => settle({ kind: "read", body: new RequestBody(chunks, contentLength) });
+    const onClose = () => settle({ kind: "aborted" });
     request.on("data", onData);
     request.once("end", onEnd);
     request.once("close", onClose);
   });
 }
 
-/** Watches the rest of a body; the signal is aborted once it is longer than allowed. */
+/** Returns a signal that is aborted once the rest of a body is longer than allowed. */
 function watchLength(rest: http.IncomingMessage, allowedBytes: number): AbortSignal {
   const tooLarge = new AbortController();
   let bytes = 0;
@@ -124,11 +126,11 @@
     if (bytes > allowedBytes) {
       rest.off("data", onData);
       tooLarge.abort();
-      // What follows is read and dropped, so that the caller gets to read its answer.
+      // The remaining bytes are read and dropped, so that the caller gets to read its response.
       rest.resume();
     }
   };
-  // Does not start the stream, which was paused before and flows once it is piped.
+  // This listener does not start the stream, which was paused before; it flows once it is piped.
   rest.on("data", onData);
   return tooLarge.signal;
 }
--- a/packages/proxy/src/budgets.ts
+++ b/packages/proxy/src/budgets.ts
@@ -11,42 +11,51 @@
 
 const REFILL_INTERVAL_MILLISECONDS = 100;
 
-/** Share of the slack for retries that may be spent at once; the rest covers what VMs do unseen. */
+/**
+ * Share of the retry slack that may be spent at once; the rest covers retries of other VMs that are
+ * not yet reported.
+ */
 const SHARE_OF_RETRY_SLACK = 0.6;
 
-/** Share of the tolerated excess that is used; the rest covers what VMs do unseen. */
+/**
+ * Share of the tolerated excess that is used; the rest covers requests admitted by other VMs that
+ * are not yet reported.
+ */
 const SHARE_OF_RATE_EXCESS = 0.4;
 
-/** VMs that were known within this time still count as holders of their share. */
+/** VMs that were known within this time still keep their share of the budgets. */
 const EXPECTED_FOR_MILLISECONDS = 20_000;
 
-/** Levels are told by VMs that have lived for so long and taken by those that have lived for less. */
-const KNOWS_LEVELS_AFTER_MILLISECONDS = 3_000;
+/**
+ * A VM adopts levels only in this time after its start, and only from VMs that have run at least
+ * this long.
+ */
+const LEVEL_ADOPTION_MILLISECONDS = 3_000;
 
-/** A VM that has just started takes the fleet to be this large until it is linked. */
+/** Fleet size that a newly started VM assumes until it is linked. */
 const ASSUMED_FLEET_SIZE = 50;
 
-/** After so long without a link a VM takes itself to be alone. */
+/** After this time without a link, a VM assumes that it is alone. */
 const ALONE_AFTER_MILLISECONDS = 2_000;
 
-/** Levels of all buckets, for a VM that has just started. */
+/** Levels of all buckets, sent to a VM that has just started. */
 interface LevelTables {
-  /** How long the VM that tells them has lived, in milliseconds. */
+  /** Time since the start of the VM that sends them, in milliseconds. */
   readonly age: number;
   readonly rates: Record<string, number>;
   readonly retries: Record<string, number>;
 }
 
-/** Counters as they travel. */
-interface CounterNews<T> {
-  /** How long the VM that tells them has lived, in milliseconds. */
+/** Counters as sent to other VMs. */
+interface CounterReport<T> {
+  /** Time since the start of the VM that sends them, in milliseconds. */
   readonly age: number;
   readonly counters: Record<string, T>;
 }
 
-type BucketNews = CounterNews<readonly [taken: number, asked: number]>;
+type BucketReport = CounterReport<readonly [taken: number, requested: number]>;
 
-/** The fleet's budgets as seen by one VM. */
+/** One VM's view of the fleet's budgets. */
 export class Budgets implements kernel.Service {
   readonly #mesh: mesh.Mesh;
   readonly #store: declarations.DeclarationStore;
@@ -56,7 +65,7 @@
   readonly #retries = new Map<string, placement.SharedBucket>();
   readonly #requests = new Map<string, number>();
   readonly #requestsReported = new Map<string, number>();
-  readonly #requestsOfOthers = new Map<
+  readonly #requestsByVm = new Map<
     string,
     { incarnation: string; counts: Map<string, number> }
   >();
@@ -78,12 +87,12 @@
     vmMesh.addSection("rates", {
       collect: () => this.#collectBuckets(this.#rates),
       receive: (from, payload) =>
-        this.#receiveBuckets(from, payload, (workspace) => this.#getRate(workspace)),
+        this.#receiveBuckets(from, payload, (workspace) => this.#getRateBucket(workspace)),
     });
     vmMesh.addSection("retries", {
       collect: () => this.#collectBuckets(this.#retries),
       receive: (from, payload) =>
-        this.#receiveBuckets(from, payload, (service) => this.#getRetries(service)),
+        this.#receiveBuckets(from, payload, (service) => this.#getRetryBucket(service)),
     });
     vmMesh.addSection("requests", {
       collect: () => this.#collectRequests(),
@@ -93,7 +102,7 @@
       createSnapshot: () => this.#createLevels(),
       receive: (payload) => this.#adoptLevels(payload as LevelTables),
     });
-    store.onVersion((view) => this.#adoptRates(view));
+    store.onVersion((view) => this.#updateRateLimits(view));
   }
 
   start(): void {
@@ -104,15 +113,17 @@
     clearInterval(this.#timer);
   }
 
-  /** Takes a token of a workspace's rate; always possible for one without a limit. */
+  /**
+   * Takes a token from a workspace's rate limit; always succeeds for a workspace without a limit.
+   */
   takeRate(workspace: declarations.DeclaredWorkspace): boolean {
     if (workspace.ratePerSecond === undefined) {
       return true;
     }
-    return this.#takeFrom(this.#getRate(workspace.id));
+    return this.#takeFrom(this.#getRateBucket(workspace.id));
   }
 
-  /** What decided on a workspace's latest request, for the log. */
+  /** Describes the rate limit as it applied to a workspace's latest request, for the log. */
   describeRate(workspace: declarations.DeclaredWorkspace) {
     const bucket = this.#rates.get(workspace.id);
     return {
@@ -125,25 +136,25 @@
     };
   }
 
-  /** Gives back the token of a request that was refused for another reason. */
+  /** Returns the token of a request that was not run after all. */
   returnRate(workspace: declarations.DeclaredWorkspace): void {
-    this.#rates.get(workspace.id)?.giveBack();
+    this.#rates.get(workspace.id)?.returnToken();
   }
 
-  /** Counts a caller's request, from which the service's budget of retries grows. */
+  /** Counts a caller's request, which adds to the service's retry budget. */
   countRequest(service: model.ServiceId): void {
     this.#requests.set(service, (this.#requests.get(service) ?? 0) + 1);
-    this.#growRetries(service, 1);
+    this.#addRetryTokens(service, 1);
   }
 
-  /** Takes a retry of a service. */
+  /** Takes a retry from a service's budget. */
   takeRetry(service: model.ServiceId): boolean {
-    return this.#takeFrom(this.#getRetries(service));
+    return this.#takeFrom(this.#getRetryBucket(service));
   }
 
-  /** Share of the retries at hand that is left, from 0 to 1. */
+  /** Share of a service's retry budget that is left, from 0 to 1. */
   getRetryLevel(service: model.ServiceId): number {
-    return Math.max(0, this.#getRetries(service).level / this.#getRetryBurst());
+    return Math.max(0, this.#getRetryBucket(service).level / this.#getRetryBurst());
   }
 
   #takeFrom(bucket: placement.SharedBucket | undefined): boolean {
@@ -171,26 +182,30 @@
     };
   }
 
-  /** Levels concern only the VM that they were sent to, so they are never passed on. */
+  /**
+   * Adopts the levels of another VM. They are meant only for the VM that they were sent to, so this
+   * returns false: they are not forwarded.
+   */
   #adoptLevels(levels: LevelTables): boolean {
-    const isUseful = levels.age >= KNOWS_LEVELS_AFTER_MILLISECONDS &&
-      this.#getLifetime() < KNOWS_LEVELS_AFTER_MILLISECONDS;
+    const isUseful = levels.age >= LEVEL_ADOPTION_MILLISECONDS &&
+      this.#getLifetime() < LEVEL_ADOPTION_MILLISECONDS;
     if (isUseful) {
       for (const [workspace, level] of Object.entries(levels.rates)) {
-        this.#getRate(workspace)?.adoptLevel(level);
+        this.#getRateBucket(workspace)?.adoptLevel(level);
       }
       for (const [service, level] of Object.entries(levels.retries)) {
-        this.#getRetries(service).adoptLevel(level);
+        this.#getRetryBucket(service).adoptLevel(level);
       }
     }
     return false;
   }
 
-  #getRate(workspace: string): placement.SharedBucket | undefined {
+  #getRateBucket(workspace: string): placement.SharedBucket | undefined {
     let bucket = this.#rates.get(workspace);
     const declared = this.#store.current?.getWorkspaceById(workspace as model.WorkspaceId);
     if (bucket === undefined && declared?.ratePerSecond !== undefined) {
-      // Of what ran before a restart nothing is known, so a replaced VM starts without tokens.
+      // The admissions before a restart are unknown, so a VM that replaces another starts without
+      // tokens.
       const accrued = declared.ratePerSecond * this.#getLifetime() / 1_000;
       bucket = new placement.SharedBucket(
         declared.burst,
@@ -212,7 +227,7 @@
     return Math.max(1, this.#bounds.retrySlack * SHARE_OF_RETRY_SLACK);
   }
 
-  #getRetries(service: string): placement.SharedBucket {
+  #getRetryBucket(service: string): placement.SharedBucket {
     let bucket = this.#retries.get(service);
     if (bucket === undefined) {
       const burst = this.#getRetryBurst();
@@ -222,11 +237,11 @@
     return bucket;
   }
 
-  #growRetries(service: string, requests: number): void {
-    this.#getRetries(service).refill(requests * this.#bounds.retryRatio, this.#getPresence());
+  #addRetryTokens(service: string, requests: number): void {
+    this.#getRetryBucket(service).refill(requests * this.#bounds.retryRatio, this.#getPresence());
   }
 
-  #adoptRates(view: declarations.DeclarationView): void {
+  #updateRateLimits(view: declarations.DeclarationView): void {
     for (const workspace of view.declarations.workspaces) {
       if (workspace.ratePerSecond === undefined) {
         this.#rates.delete(workspace.id);
@@ -243,7 +258,7 @@
     const now = kernel.getMonotonicMilliseconds();
     const seconds = (now - this.#refilledAt) / 1_000;
     this.#refilledAt = now;
-    this.#noteSize(now);
+    this.#recordSize(now);
     const presence = this.#getPresence();
     for (const [workspace, bucket] of this.#rates) {
       const declared = this.#store.current?.getWorkspaceById(workspace as model.WorkspaceId);
@@ -251,7 +266,7 @@
     }
   }
 
-  #noteSize(now: number): void {
+  #recordSize(now: number): void {
     const size = this.#mesh.size;
     this.#sizes = this.#sizes.filter((sample) =>
       sample.at > now - EXPECTED_FOR_MILLISECONDS && sample.size > size
@@ -261,12 +276,12 @@
 
   #getPresence(): placement.FleetPresence {
     const present = this.#mesh.size;
-    const isUnknown = present === 1 && this.#getLifetime() < ALONE_AFTER_MILLISECONDS;
+    const isSizeUnknown = present === 1 && this.#getLifetime() < ALONE_AFTER_MILLISECONDS;
     const expected = this.#sizes.reduce((most, sample) => Math.max(most, sample.size), present);
     return {
       present,
-      expected: isUnknown ? ASSUMED_FLEET_SIZE : expected,
-      newsMilliseconds: this.#mesh.newsMilliseconds,
+      expected: isSizeUnknown ? ASSUMED_FLEET_SIZE : expected,
+      propagationMilliseconds: this.#mesh.newsMilliseconds,
     };
   }
 
@@ -275,36 +290,36 @@
     payload: unknown,
     find: (name: string) => placement.SharedBucket | undefined,
   ): void {
-    const { age, counters } = payload as BucketNews;
-    const followed = this.#getFollowedShare(age);
-    for (const [name, [taken, asked]] of Object.entries(counters)) {
-      find(name)?.receive(from.vm, from.incarnation, { taken, asked }, followed);
+    const { age, counters } = payload as BucketReport;
+    const trackedShare = this.#getTrackedShare(age);
+    for (const [name, [taken, requested]] of Object.entries(counters)) {
+      find(name)?.receive(from.vm, from.incarnation, { taken, requested }, trackedShare);
     }
   }
 
-  /** Share of another VM's life that this VM has lived too. */
-  #getFollowedShare(age: number): number {
+  /** Share of another VM's lifetime during which this VM has run too. */
+  #getTrackedShare(age: number): number {
     return Math.min(1, this.#getLifetime() / Math.max(age, 1));
   }
 
-  #collectBuckets(buckets: ReadonlyMap<string, placement.SharedBucket>): BucketNews | undefined {
+  #collectBuckets(buckets: ReadonlyMap<string, placement.SharedBucket>): BucketReport | undefined {
     const counters: Record<string, readonly [number, number]> = {};
     for (const [name, bucket] of buckets) {
       const collected = bucket.collect();
       if (collected !== undefined) {
-        counters[name] = [collected.taken, collected.asked];
+        counters[name] = [collected.taken, collected.requested];
       }
     }
-    return this.#createNews(counters);
+    return this.#createCounterReport(counters);
   }
 
-  #createNews<T>(counters: Record<string, T>): CounterNews<T> | undefined {
+  #createCounterReport<T>(counters: Record<string, T>): CounterReport<T> | undefined {
     return Object.keys(counters).length === 0
       ? undefined
       : { age: Math.round(this.#getLifetime()), counters };
   }
 
-  #collectRequests(): CounterNews<number> | undefined {
+  #collectRequests(): CounterReport<number> | undefined {
     const counts: Record<string, number> = {};
     for (const [service, count] of this.#requests) {
       if (this.#requestsReported.get(service) !== count) {
@@ -312,21 +327,21 @@
         this.#requestsReported.set(service, count);
       }
     }
-    return this.#createNews(counts);
+    return this.#createCounterReport(counts);
   }
 
   #receiveRequests(from: mesh.MemberIdentity, payload: unknown): void {
-    const { age, counters } = payload as CounterNews<number>;
-    let known = this.#requestsOfOthers.get(from.vm);
-    if (known?.incarnation !== from.incarnation) {
-      known = { incarnation: from.incarnation, counts: new Map() };
-      this.#requestsOfOthers.set(from.vm, known);
+    const { age, counters } = payload as CounterReport<number>;
+    let previous = this.#requestsByVm.get(from.vm);
+    if (previous?.incarnation !== from.incarnation) {
+      previous = { incarnation: from.incarnation, counts: new Map() };
+      this.#requestsByVm.set(from.vm, previous);
     }
     for (const [service, count] of Object.entries(counters)) {
-      const before = known.counts.get(service);
-      const grown = before === undefined ? count * this.#getFollowedShare(age) : count - before;
-      this.#growRetries(service, Math.max(0, grown));
-      known.counts.set(service, count);
+      const before = previous.counts.get(service);
+      const added = before === undefined ? count * this.#getTrackedShare(age) : count - before;
+      this.#addRetryTokens(service, Math.max(0, added));
+      previous.counts.set(service, count);
     }
   }
 }
--- a/packages/proxy/src/final_answer.ts
+++ b/packages/proxy/src/final_answer.ts
@@ -1,5 +1,6 @@
 /**
- * The one final answer of a request: a target's, passed on, or the proxy's own.
+ * Sends the final response of a request: a target's response, forwarded, or one of the proxy
+ * itself.
  */
 
 import type * as http from "node:http";
@@ -9,35 +10,36 @@
 import type * as log from "./request_log.ts";
 import type * as calls from "./target_call.ts";
 
-/** Gives a request its final answer, once. */
+/** Sends the final response of a request, once. */
 export class FinalAnswer {
   readonly #context: contexts.RequestContext;
   readonly #response: http.ServerResponse;
-  readonly #story: log.RequestStory;
-  #isGiven = false;
+  readonly #trace: log.RequestTrace;
+  #isDecided = false;
 
   constructor(
     context: contexts.RequestContext,
     response: http.ServerResponse,
-    story: log.RequestStory,
+    trace: log.RequestTrace,
   ) {
     this.#context = context;
     this.#response = response;
-    this.#story = story;
+    this.#trace = trace;
   }
 
-  get isGiven(): boolean {
-    return this.#isGiven;
+  get isDecided(): boolean {
+    return this.#isDecided;
   }
 
-  /** Passes a target's answer on, while the rest of a long one still comes. */
-  passOn(answer: calls.TargetAnswer): void {
+  /** Forwards a target's response; the rest of a long one is streamed. */
+  forward(answer: calls.TargetAnswer): void {
     const { rest } = answer;
-    this.#isGiven = true;
+    this.#isDecided = true;
     const isClosing = !answer.isFramed || this.#context.isStopping();
     const head = [...answer.headers, ...(isClosing ? ["Connection", "close"] : [])];
     if (!answer.isFramed) {
-      // Whether such an answer is whole is not known, so it is not framed as if it were.
+      // The proxy cannot know whether a response without framing is complete, so it does not frame
+      // it either.
       this.#response.useChunkedEncodingByDefault = false;
     }
     this.#response.writeHead(answer.status, head);
@@ -50,7 +52,7 @@
       return;
     }
     rest.pipe(this.#response);
-    // An answer that ends early must not look complete, so the caller's connection is cut with it.
+    // A truncated response must not look complete, so the caller's connection is closed with it.
     rest.once("close", () => {
       if (!rest.complete) {
         this.#response.destroy();
@@ -59,15 +61,15 @@
     });
   }
 
-  /** Answers in the proxy's own name. */
+  /** Sends a response of the proxy itself. */
   refuse(refusal: refusals.Refusal): void {
-    if (this.#isGiven) {
+    if (this.#isDecided) {
       return;
     }
-    this.#isGiven = true;
+    this.#isDecided = true;
     const head: string[] = ["Content-Type", "application/problem+json"];
-    if (this.#story.id !== "") {
-      head.push(this.#context.profile.requestId, this.#story.id);
+    if (this.#trace.id !== "") {
+      head.push(this.#context.profile.requestId, this.#trace.id);
     }
     if (refusal.retryAfterSeconds !== undefined) {
       head.push("Retry-After", String(refusal.retryAfterSeconds));
@@ -83,11 +85,11 @@
     return this.#context.isStopping() ? ["Connection", "close"] : [];
   }
 
-  /** Counts and logs the end of the request, with or without an answer. */
+  /** Counts and logs the end of the request, with or without a response. */
   finish(outcome: string, status: number): void {
-    this.#isGiven = true;
+    this.#isDecided = true;
     this.#context.counters.requests.inc({ outcome });
-    this.#context.latency.record(kernel.getMonotonicMilliseconds() - this.#story.arrivedAt);
-    this.#context.log.write(this.#story, outcome, status);
+    this.#context.latency.record(kernel.getMonotonicMilliseconds() - this.#trace.arrivedAt);
+    this.#context.log.write(this.#trace, outcome, status);
   }
 }
--- a/packages/proxy/src/headers.ts
+++ b/packages/proxy/src/headers.ts
@@ -1,11 +1,11 @@
 /**
- * Which headers go on to a target, and which come back to the caller.
+ * Filters the headers that are forwarded to a target or returned to the caller.
  */
 
 import type * as http from "node:http";
 import type * as types from "./types.ts";
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Headers that apply to a single connection only (RFC 9110, section 7.6.1). */
 const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
@@ -20,7 +20,7 @@
 
 const KEY_HEADER = "authorization";
 
-/** The caller's headers that go to every attempt, as names and values in turn. */
+/** The caller's headers that are sent with every attempt, as names and values in turn. */
 export function createForwardedHeaders(
   request: http.IncomingMessage,
   profile: types.HeaderProfile,
@@ -37,7 +37,7 @@
   return filterHeaders(request.rawHeaders, dropped);
 }
 
-/** The target's headers that go to the caller, as names and values in turn. */
+/** The target's headers that are returned to the caller, as names and values in turn. */
 export function createAnswerHeaders(answer: http.IncomingMessage): string[] {
   return filterHeaders(
     answer.rawHeaders,
@@ -45,7 +45,7 @@
   );
 }
 
-/** The caller's key; undefined without one. */
+/** The caller's key; undefined if there is none. */
 export function findKey(
   request: http.IncomingMessage,
   profile: types.HeaderProfile,
@@ -67,7 +67,7 @@
   return Number(value);
 }
 
-/** Bytes of a head as the caller has sent it, without the separators. */
+/** Size of a request head as the caller has sent it, in bytes, without the separators. */
 export function countHeadBytes(request: http.IncomingMessage): number {
   let bytes = (request.url ?? "").length;
   for (const text of request.rawHeaders) {
--- a/packages/proxy/src/listener.ts
+++ b/packages/proxy/src/listener.ts
@@ -1,5 +1,5 @@
 /**
- * The listener for callers, and the one on which the platform's balancer asks for readiness.
+ * The listeners for callers and for the readiness checks of the platform's load balancer.
  */
 
 import * as http from "node:http";
@@ -10,17 +10,20 @@
 import * as handlers from "./request_handler.ts";
 import type * as types from "./types.ts";
 
-/** Greatest head that is read at all; the declared limit is checked after it. */
+/** Largest request head that is read at all; the declared limit is checked afterwards. */
 const MAX_HEAD_BYTES = 65_536;
 
-/** Used before the first declarations. */
+/** In force until the first declarations arrive. */
 const DEFAULT_IDLE_MILLISECONDS = 15_000;
 const DEFAULT_HEADER_MILLISECONDS = 5_000;
 
-/** The balancer takes a VM out after two missed questions, a second apart. */
+/**
+ * Time until the load balancer has stopped sending requests: it removes a VM after two failed
+ * readiness checks, a second apart.
+ */
 const BALANCER_LAG_MILLISECONDS = 2_800;
 
-/** What is left of the grace period when the last requests are cut. */
+/** Part of the grace period that remains when the last requests are cut off. */
 const EXIT_MARGIN_MILLISECONDS = 300;
 
 const DRAIN_POLL_MILLISECONDS = 50;
@@ -35,7 +38,7 @@
   readonly logger: kernel.PartLogger;
 }
 
-/** Accepts callers' connections and hands over their requests. */
+/** Accepts callers' connections and passes their requests to handlers. */
 export class CallerListener implements kernel.Service {
   readonly #options: ListenerOptions;
   readonly #server: http.Server;
@@ -56,7 +59,7 @@
     });
     this.#server.on("request", (request, response) => this.#handle(context, request, response));
     this.#server.on("connection", (socket: net.Socket) => {
-      socket.once("close", () => this.#leave(socket));
+      socket.once("close", () => this.#onSocketClosed(socket));
     });
     options.store.onVersion((view) => {
       const { idleMilliseconds, headerMilliseconds } = view.declarations.limits;
@@ -73,13 +76,14 @@
     await listen(this.#server, this.#options.callerAddress);
   }
 
-  /** Goes on serving while the balancer lags, then waits for what runs. */
+  /** Keeps serving until the load balancer has removed this VM, then waits for running requests. */
   async drain(): Promise<void> {
     this.#isStopping = true;
     const startedAt = kernel.getMonotonicMilliseconds();
     const endsAt = startedAt + this.#options.bounds.graceMilliseconds - EXIT_MARGIN_MILLISECONDS;
     await kernel.sleep(BALANCER_LAG_MILLISECONDS);
-    // Takes no new connections and closes idle ones; those in use close behind their next answer.
+    // Accepts no new connections and closes idle ones; those in use close after their next
+    // response.
     this.#server.close();
     while (this.#runningCount > 0 && kernel.getMonotonicMilliseconds() < endsAt) {
       await kernel.sleep(DRAIN_POLL_MILLISECONDS);
@@ -114,20 +118,20 @@
     });
   }
 
-  #leave(socket: net.Socket): void {
+  #onSocketClosed(socket: net.Socket): void {
     for (const handler of this.#running.get(socket) ?? []) {
-      handler.leave();
+      handler.onCallerClosed();
     }
     this.#running.delete(socket);
   }
 }
 
-/** Answers whether this VM takes callers. */
+/** Responds to readiness checks of the load balancer. */
 export class ReadinessListener implements kernel.Service {
   readonly #address: string;
   readonly #server: http.Server;
 
-  /** @param path Path of the balancer's question. */
+  /** @param path Path of the readiness check. */
   constructor(address: string, path: string, isReady: () => boolean) {
     this.#address = address;
     this.#server = http.createServer((request, response) => {
--- a/packages/proxy/src/mod.ts
+++ b/packages/proxy/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The request path of a fleet whose declarations are published whole.
+ * The request path of a fleet in which every VM holds the complete declarations.
  */
 
 export * from "./listener.ts";
--- a/packages/proxy/src/proxy_vm.ts
+++ b/packages/proxy/src/proxy_vm.ts
@@ -1,6 +1,6 @@
 /**
- * One VM of a fleet whose declarations and targets are published whole: its services and how they
- * are wired.
+ * Creates and wires the services of one VM of a fleet in which every VM holds all declarations and
+ * targets.
  */
 
 import * as declarations from "@hemlockwalk/declarations";
@@ -8,25 +8,25 @@
 import * as mesh from "@hemlockwalk/mesh";
 import type * as bunyan from "bunyan";
 import * as budgets from "./budgets.ts";
-import * as feeds from "./publisher.ts";
+import * as publishers from "./publisher.ts";
 import * as listeners from "./listener.ts";
 import * as log from "./request_log.ts";
 import * as gates from "./start_gate.ts";
 import * as connections from "./target_connections.ts";
-import * as knowledge from "./target_tracker.ts";
+import * as trackers from "./target_tracker.ts";
 import type * as types from "./types.ts";
-import * as waitingLines from "./request_queues.ts";
+import * as requestQueues from "./request_queues.ts";
 
 const HOUSEKEEPING_INTERVAL_MILLISECONDS = 1_000;
 
-/** Names under which the services of such a VM are found. */
+/** Names of the services of such a VM. */
 export const MESH = kernel.createServiceName<mesh.Mesh>("mesh");
 export const BUDGETS = kernel.createServiceName<budgets.Budgets>("budgets");
 export const CALLER_LISTENER = kernel.createServiceName<listeners.CallerListener>(
   "caller-listener",
 );
 
-/** What a VM needs to know at its start. */
+/** Settings of a VM. */
 export interface ProxyVmOptions {
   readonly identity: mesh.MemberIdentity;
   readonly callerAddress: string;
@@ -42,12 +42,12 @@
 export interface ProxyVm {
   readonly kernel: kernel.Kernel;
   readonly mesh: mesh.Mesh;
-  readonly publisher: feeds.Publisher;
-  /** Whether the VM should get callers. */
+  readonly publisher: publishers.Publisher;
+  /** Whether the VM is ready for callers. */
   readonly isReady: () => boolean;
 }
 
-/** Creates and wires all services. The kernel's owner adds where declarations come from. */
+/** Creates and wires all services. The caller registers the source of the declarations. */
 export function createProxyVm(options: ProxyVmOptions): ProxyVm {
   const vm = new kernel.Kernel();
   const metrics = vm.register(kernel.METRICS, new kernel.Metrics());
@@ -62,9 +62,14 @@
   );
   const store = new declarations.DeclarationStore();
   const directory = new declarations.TargetDirectory();
-  const publisher = new feeds.Publisher(store, directory, vmMesh, createLogger("declarations"));
-  const targets = new knowledge.TargetKnowledge(directory, vmMesh, createLogger("targets"));
-  const shared = vm.register(
+  const publisher = new publishers.Publisher(
+    store,
+    directory,
+    vmMesh,
+    createLogger("declarations"),
+  );
+  const tracker = new trackers.TargetTracker(directory, vmMesh, createLogger("targets"));
+  const sharedBudgets = vm.register(
     BUDGETS,
     new budgets.Budgets(vmMesh, store, options.bounds, options.isFirstStart),
   );
@@ -82,21 +87,21 @@
       createContext: (isStopping) => ({
         profile: options.profile,
         store,
-        knowledge: targets,
-        budgets: shared,
+        tracker,
+        budgets: sharedBudgets,
         connections: new connections.TargetConnections(),
         log: new log.RequestLog(createLogger("requests")),
-        lines: new waitingLines.WaitingLines(),
+        queues: new requestQueues.RequestQueues(),
         counters: {
           requests: metrics.createCounter(
             "hemlockwalk_requests_total",
-            "Requests by how they ended.",
+            "Requests by outcome.",
             ["outcome"],
           ),
         },
         latency: metrics.createLatency(
           "hemlockwalk_request_seconds",
-          "Time from the arrival of a request to its final answer.",
+          "Time from the arrival of a request to its final response.",
         ),
         getConfirmedAt: () => vmMesh.confirmedAt,
         isStopping,
@@ -106,7 +111,7 @@
   );
   vm.register(
     kernel.createServiceName<kernel.Service>("housekeeping"),
-    createHousekeeping(targets, directory),
+    createHousekeeping(tracker, directory),
   );
   return {
     kernel: vm,
@@ -117,20 +122,20 @@
 }
 
 function createHousekeeping(
-  targets: knowledge.TargetKnowledge,
+  tracker: trackers.TargetTracker,
   directory: declarations.TargetDirectory,
 ): kernel.Service {
   let timer: NodeJS.Timeout | undefined;
   return {
     start() {
       timer = setInterval(() => {
-        targets.dropGoneVms();
+        tracker.dropDepartedVms();
         directory.discardMarkers();
       }, HOUSEKEEPING_INTERVAL_MILLISECONDS);
     },
     stop() {
       clearInterval(timer);
-      targets.reachability.stop();
+      tracker.reachability.stop();
     },
   };
 }
--- a/packages/proxy/src/publisher.ts
+++ b/packages/proxy/src/publisher.ts
@@ -1,5 +1,5 @@
 /**
- * Passes declarations and changes of targets on to all VMs, whoever has read them from the store.
+ * Replicates declarations and target changes to all VMs, whichever VM has read them from the store.
  */
 
 import type * as declarations from "@hemlockwalk/declarations";
@@ -7,10 +7,10 @@
 import type * as mesh from "@hemlockwalk/mesh";
 import type * as model from "@hemlockwalk/model";
 
-const DECLARATIONS_FEED = "declarations";
-const TARGETS_FEED = "targets";
+const DECLARATIONS_STATE = "declarations";
+const TARGETS_STATE = "targets";
 
-/** Applies what was read here or told by others, and tells the others what was new. */
+/** Applies updates from the store and from other VMs, and publishes the new ones to the fleet. */
 export class Publisher {
   readonly #store: declarations.DeclarationStore;
   readonly #directory: declarations.TargetDirectory;
@@ -27,22 +27,24 @@
     this.#directory = directory;
     this.#mesh = vmMesh;
     this.#logger = logger;
-    vmMesh.addFeed(DECLARATIONS_FEED, {
+    vmMesh.addFeed(DECLARATIONS_STATE, {
       marks: {
         get: () => store.current?.declarations.version ?? 0,
         isBehind: (other) => other > (store.current?.declarations.version ?? 0),
       },
       createSnapshot: () => store.current?.declarations,
-      receive: (payload) => this.#take(payload as declarations.Declarations | undefined, "peer"),
+      receive: (payload) =>
+        this.#applyDeclarations(payload as declarations.Declarations | undefined, "peer"),
     });
-    vmMesh.addFeed(TARGETS_FEED, {
+    vmMesh.addFeed(TARGETS_STATE, {
       marks: {
         get: () => directory.getMark(),
-        // What the other holds may be older than what is held here; then nothing of it is taken.
+        // The digest only shows that the two states differ. If the other VM's state is older, none
+        // of its changes is applied.
         isBehind: (other) => other !== 0 && other !== directory.getMark(),
       },
       createSnapshot: () => directory.listChanges(),
-      receive: (payload) => this.#takeChanges(payload as declarations.TargetChange[], "peer"),
+      receive: (payload) => this.#applyChanges(payload as declarations.TargetChange[], "peer"),
     });
   }
 
@@ -57,20 +59,20 @@
 
   /** Publishes declarations that this VM has read from the store. */
   publishDeclarations(read: declarations.Declarations): void {
-    if (this.#take(read, "store")) {
-      this.#mesh.publish(DECLARATIONS_FEED, read);
+    if (this.#applyDeclarations(read, "store")) {
+      this.#mesh.publish(DECLARATIONS_STATE, read);
     }
   }
 
-  /** Publishes changes of targets that this VM has read from the store. */
+  /** Publishes target changes that this VM has read from the store. */
   publishTargets(changes: readonly declarations.TargetChange[]): void {
-    const taken = changes.filter((change) => this.#takeChanges([change], "store"));
-    if (taken.length > 0) {
-      this.#mesh.publish(TARGETS_FEED, taken);
+    const applied = changes.filter((change) => this.#applyChanges([change], "store"));
+    if (applied.length > 0) {
+      this.#mesh.publish(TARGETS_STATE, applied);
     }
   }
 
-  /** Drops targets that the store no longer has. */
+  /** Removes targets that the store no longer has. */
   publishMissing(
     present: ReadonlySet<model.TargetId>,
     asOf: declarations.StoreRevision,
@@ -78,7 +80,7 @@
     this.publishTargets(this.#directory.listMissing(present, asOf));
   }
 
-  #take(read: declarations.Declarations | undefined, from: string): boolean {
+  #applyDeclarations(read: declarations.Declarations | undefined, from: string): boolean {
     if (read === undefined || read === null || !this.#store.apply(read)) {
       return false;
     }
@@ -86,13 +88,13 @@
     return true;
   }
 
-  #takeChanges(changes: readonly declarations.TargetChange[], from: string): boolean {
-    let hasTaken = false;
+  #applyChanges(changes: readonly declarations.TargetChange[], from: string): boolean {
+    let hasApplied = false;
     for (const change of changes) {
       if (!this.#directory.apply(change)) {
         continue;
       }
-      hasTaken = true;
+      hasApplied = true;
       this.#logger.write(kernel.LogMessages.targetChanged, {
         target: change.id,
         state: change.entry === undefined ? "gone" : change.entry.isDraining ? "draining" : "ready",
@@ -100,6 +102,6 @@
         from,
       });
     }
-    return hasTaken;
+    return hasApplied;
   }
 }
--- a/packages/proxy/src/reachability.ts
+++ b/packages/proxy/src/reachability.ts
@@ -1,47 +1,50 @@
 /**
- * Which targets this VM can reach at present.
+ * Tracks which targets this VM can currently connect to.
  *
- * A path can be cut for one VM and whole for others, so this is not told. Connections are given up
- * early, against what they usually take, since a lost opening packet is sent again only after a
- * second. A target that was not reached gets no request until a bare connection has shown that it
- * can be reached again, so that no caller waits for the test.
+ * The path to a target can be cut for one VM and intact for others, so this is not reported to
+ * them. Connection attempts time out early, relative to the usual connect time, since a lost SYN
+ * packet is sent again only after a second. A target that could not be reached gets no requests
+ * until a test connection without a request has succeeded, so that no caller waits for the test.
  */
 
 import * as net from "node:net";
 import * as kernel from "@hemlockwalk/kernel";
 import type * as model from "@hemlockwalk/model";
 
-/** Given up after this and some usual connection times. Covers the delay of a busy VM. */
+/**
+ * A connection attempt times out after this minimum plus some usual connect times. The minimum
+ * covers the delays of a busy VM.
+ */
 const MIN_CONNECT_TIMEOUT_MILLISECONDS = 80;
-const USUAL_TIMES_ALLOWED = 4;
+const MAX_USUAL_CONNECT_TIMES = 4;
 
-/** Assumed for a target that was never connected to. */
+/** Connect time assumed for a target without an earlier connection. */
 const INITIAL_CONNECT_MILLISECONDS = 40;
 
-/** Weight of a new connection time in the usual one. */
+/** Weight of a new connect time in the usual one. */
 const CONNECT_TIME_WEIGHT = 0.3;
 
-/** Pause before a target is tested, twice as long after each failed test. */
+/** Pause before a target is tested, doubled after each failed test. */
 const MIN_TEST_PAUSE_MILLISECONDS = 200;
 const MAX_TEST_PAUSE_MILLISECONDS = 2_000;
 
-/** A test may take longer than a caller would wait. */
+/** Timeout of a test. It may be longer than a caller would wait. */
 const TEST_TIMEOUT_MILLISECONDS = 500;
 
-/** Tests that fail in a row before a target is left to the callers again. */
+/** Number of consecutive failed tests after which requests are sent to the target again. */
 const MAX_TESTS = 30;
 
-interface Test {
+interface ConnectionTest {
   timer: NodeJS.Timeout | undefined;
   failures: number;
 }
 
-/** Connection times and tests of one VM. */
+/** Tracks the connect times and connection tests of one VM. */
 export class Reachability implements kernel.Service {
   readonly #findAddress: (target: model.TargetId) => string | undefined;
   readonly #logger: kernel.PartLogger;
   readonly #connectTimes = new Map<model.TargetId, number>();
-  readonly #tests = new Map<model.TargetId, Test>();
+  readonly #tests = new Map<model.TargetId, ConnectionTest>();
 
   constructor(
     findAddress: (target: model.TargetId) => string | undefined,
@@ -55,24 +58,24 @@
     return !this.#tests.has(target);
   }
 
-  /** Longest time for a new connection to a target, in milliseconds. */
+  /** Connect timeout for a target, in milliseconds. */
   getConnectTimeout(target: model.TargetId): number {
     const usual = this.#connectTimes.get(target) ?? INITIAL_CONNECT_MILLISECONDS;
-    return MIN_CONNECT_TIMEOUT_MILLISECONDS + USUAL_TIMES_ALLOWED * usual;
+    return MIN_CONNECT_TIMEOUT_MILLISECONDS + MAX_USUAL_CONNECT_TIMES * usual;
   }
 
-  noteConnected(target: model.TargetId, milliseconds: number): void {
+  recordConnected(target: model.TargetId, milliseconds: number): void {
     const usual = this.#connectTimes.get(target) ?? milliseconds;
     this.#connectTimes.set(target, usual + CONNECT_TIME_WEIGHT * (milliseconds - usual));
     this.#endTest(target);
   }
 
-  /** Takes a target out until it is reached again. */
-  noteUnreachable(target: model.TargetId): void {
+  /** Excludes a target until a test connection has succeeded. */
+  recordUnreachable(target: model.TargetId): void {
     if (this.#tests.has(target)) {
       return;
     }
-    const test: Test = { timer: undefined, failures: 0 };
+    const test: ConnectionTest = { timer: undefined, failures: 0 };
     this.#tests.set(target, test);
     this.#logger.write(kernel.LogMessages.targetUnreachable, {
       target,
@@ -81,7 +84,7 @@
     this.#scheduleTest(target, test);
   }
 
-  forget(target: model.TargetId): void {
+  removeTarget(target: model.TargetId): void {
     this.#connectTimes.delete(target);
     this.#endTest(target);
   }
@@ -100,7 +103,7 @@
     }
   }
 
-  #scheduleTest(target: model.TargetId, test: Test): void {
+  #scheduleTest(target: model.TargetId, test: ConnectionTest): void {
     const pause = Math.min(
       MIN_TEST_PAUSE_MILLISECONDS * 2 ** test.failures,
       MAX_TEST_PAUSE_MILLISECONDS,
@@ -108,7 +111,7 @@
     test.timer = setTimeout(() => this.#test(target, test), pause);
   }
 
-  #test(target: model.TargetId, test: Test): void {
+  #test(target: model.TargetId, test: ConnectionTest): void {
     const address = this.#findAddress(target);
     if (address === undefined || test.failures >= MAX_TESTS) {
       this.#endTest(target);
@@ -121,7 +124,7 @@
     const finish = () => {
       timer.stop();
       socket.removeAllListeners();
-      // The socket may still fail while it closes, which says nothing new.
+      // The socket may still fail while it closes; that is of no interest.
       socket.on("error", () => undefined);
       socket.destroy();
     };
@@ -137,7 +140,7 @@
       finish();
       if (this.#tests.get(target) === test) {
         this.#logger.write(kernel.LogMessages.targetReached, { target, tests: test.failures + 1 });
-        this.noteConnected(target, kernel.getMonotonicMilliseconds() - startedAt);
+        this.recordConnected(target, kernel.getMonotonicMilliseconds() - startedAt);
       }
     });
   }
--- a/packages/proxy/src/request_handler.ts
+++ b/packages/proxy/src/request_handler.ts
@@ -1,5 +1,5 @@
 /**
- * The path of one request from its admission to its final answer: placement and attempts.
+ * Handles one request from admission to its final response: placement, attempts and retries.
  */
 
 import type * as http from "node:http";
@@ -16,39 +16,45 @@
 import type * as types from "./types.ts";
 
 /** A request waits for a slot for at most this share of its objective. */
-const WAIT_IN_OBJECTIVES = 0.5;
+const MAX_WAIT_IN_OBJECTIVES = 0.5;
 
 /** Requests that may wait at a target beyond its slots. */
 const ALLOWED_OVERFLOW = 1;
 
-/** An idempotent request may go elsewhere when its target has been silent for so many mean times. */
-const SILENT_AFTER_TYPICAL = 4;
+/**
+ * An idempotent request may be retried after its target has not responded for this many mean
+ * processing times.
+ */
+const SILENT_AFTER_MEAN_TIMES = 4;
 
-/** Errors of targets in a bad spell mostly come within this time. */
+/** Failing targets mostly return errors within this time. */
 const SURVIVAL_MILLISECONDS = 60;
 
-/** A retry needs at least so much of a mean work time before the end of the request. */
-const MIN_TIME_LEFT_IN_TYPICAL = 0.6;
+/** A retry needs at least this share of a mean processing time before the request's deadline. */
+const MIN_RETRY_TIME_IN_MEAN_TIMES = 0.6;
 
-/** Below this share of the retries at hand, none is planned for; what is left answers failures. */
+/**
+ * With less than this share of the retry budget left, placement does not count on a retry; the rest
+ * of the budget is kept for actual failures.
+ */
 const MIN_RETRY_LEVEL = 0.2;
 
 type Placement =
   | { readonly kind: "placed"; readonly target: model.TargetId }
   | { readonly kind: "refused"; readonly reason: types.RefusalReason };
 
-/** Serves one request to its end. */
+/** Handles one request until it has ended. */
 export class RequestHandler {
   readonly #context: contexts.RequestContext;
   readonly #request: http.IncomingMessage;
-  readonly #final: answers.FinalAnswer;
-  readonly #story: log.RequestStory;
+  readonly #finalAnswer: answers.FinalAnswer;
+  readonly #trace: log.RequestTrace;
   readonly #caller = new AbortController();
   readonly #tried = new Set<model.TargetId>();
-  #hasArrived = false;
+  #hasAttempted = false;
   #mayHaveRun = false;
-  /** Whether the latest refusal of a target was for want of slots. */
-  #isCrowded = true;
+  /** Whether the target that shed the request last seemed to have no free slot. */
+  #isOutOfSlots = true;
 
   constructor(
     context: contexts.RequestContext,
@@ -58,13 +64,13 @@
     this.#context = context;
     this.#request = request;
     const id = request.headers[context.profile.requestId];
-    this.#story = new log.RequestStory(typeof id === "string" ? id : "");
-    this.#final = new answers.FinalAnswer(context, response, this.#story);
+    this.#trace = new log.RequestTrace(typeof id === "string" ? id : "");
+    this.#finalAnswer = new answers.FinalAnswer(context, response, this.#trace);
   }
 
   /** Called when the caller's connection has closed. */
-  leave(): void {
-    if (!this.#final.isGiven) {
+  onCallerClosed(): void {
+    if (!this.#finalAnswer.isDecided) {
       this.#caller.abort("cancelled");
     }
   }
@@ -73,25 +79,25 @@
     const { startGate } = this.#context;
     if (!startGate.isOpen) {
       await startGate.wait();
-      this.#story.add("held_at_start", { informed: this.#context.store.current !== undefined });
+      this.#trace.add("held_at_start", { informed: this.#context.store.current !== undefined });
       if (this.#caller.signal.aborted) {
-        this.#final.finish("caller_left", 0);
+        this.#finalAnswer.finish("caller_left", 0);
         return;
       }
     }
-    const accepted = admission.acceptRequest(this.#context, this.#request, this.#story);
+    const accepted = admission.acceptRequest(this.#context, this.#request, this.#trace);
     if ("status" in accepted) {
-      this.#final.refuse(accepted);
+      this.#finalAnswer.refuse(accepted);
       return;
     }
     const limit = this.#context.store.current?.declarations.limits.bodyBytes ?? 0;
     const read = await bodies.readBody(this.#request, limit);
-    if (read.kind === "broken_off") {
-      this.#final.finish("caller_left", 0);
+    if (read.kind === "aborted") {
+      this.#finalAnswer.finish("caller_left", 0);
       return;
     }
     if (read.kind === "too_large") {
-      this.#final.refuse({ status: 413, reason: "body_too_large" });
+      this.#finalAnswer.refuse({ status: 413, reason: "body_too_large" });
       return;
     }
     read.body.tooLarge?.addEventListener("abort", () => this.#refuseLongBody(), { once: true });
@@ -109,21 +115,21 @@
       let result: calls.CallResult | undefined;
       do {
         const placed = await this.#place(accepted);
-        if (this.#caller.signal.aborted || this.#final.isGiven) {
+        if (this.#caller.signal.aborted || this.#finalAnswer.isDecided) {
           break;
         }
         if (placed.kind === "refused") {
-          this.#answerWithout(result, placed.reason);
+          this.#answerUnplaced(result, placed.reason);
           return;
         }
         result = await this.#call(accepted, body, placed);
-      } while (!this.#final.isGiven && this.#mayRetry(accepted, body, result));
-      if (!this.#final.isGiven && result !== undefined && !this.#caller.signal.aborted) {
+      } while (!this.#finalAnswer.isDecided && this.#mayRetry(accepted, body, result));
+      if (!this.#finalAnswer.isDecided && result !== undefined && !this.#caller.signal.aborted) {
         this.#answer(result);
       }
-      if (this.#caller.signal.aborted && !this.#final.isGiven) {
+      if (this.#caller.signal.aborted && !this.#finalAnswer.isDecided) {
         this.#returnRate(accepted);
-        this.#final.finish("caller_left", 0);
+        this.#finalAnswer.finish("caller_left", 0);
       }
     } finally {
       clearTimeout(timer);
@@ -132,78 +138,84 @@
 
   #place(accepted: types.AcceptedRequest): Promise<Placement> {
     const { route, service } = accepted;
-    const typical = this.#context.knowledge.workTimes.getTypical(
+    const mean = this.#context.tracker.processingTimes.getRouteMean(
       route.id,
       route.objectiveMilliseconds,
     );
-    const need: placement.PlacementNeed = {
+    const placementRequest: placement.PlacementRequest = {
       mayRetry: route.isIdempotent && this.#tried.size + 1 < route.attempts &&
         this.#context.budgets.getRetryLevel(service) > MIN_RETRY_LEVEL,
       objectiveMilliseconds: route.objectiveMilliseconds,
-      typicalMilliseconds: typical,
+      meanProcessingMilliseconds: mean,
       allowedOverflow: ALLOWED_OVERFLOW,
     };
-    const first = this.#choose(service, need);
+    const first = this.#choose(service, placementRequest);
     if (first.kind === "chosen") {
       return Promise.resolve(this.#createPlacement(first));
     }
     if (first.kind === "none") {
       return Promise.resolve({ kind: "refused", reason: "no_target" });
     }
-    return this.#wait(accepted, need);
+    return this.#wait(accepted, placementRequest);
   }
 
-  #choose(service: model.ServiceId, need: placement.PlacementNeed): placement.Choice {
-    const candidates = this.#context.knowledge.listCandidates(service, this.#tried);
-    return placement.chooseTarget(candidates, need);
+  #choose(
+    service: model.ServiceId,
+    placementRequest: placement.PlacementRequest,
+  ): placement.Choice {
+    const candidates = this.#context.tracker.listCandidates(service, this.#tried);
+    return placement.chooseTarget(candidates, placementRequest);
   }
 
   #createPlacement(choice: Extract<placement.Choice, { kind: "chosen" }>): Placement {
     const { candidate } = choice;
-    this.#story.add("placed", {
+    this.#trace.add("placed", {
       target: candidate.id,
       load: candidate.load,
       slots: candidate.slots,
-      sickness: Number(candidate.sickness.toFixed(3)),
+      sickness: Number(candidate.failureProbability.toFixed(3)),
       evidenceAge: Math.round(Math.min(candidate.evidenceAgeMilliseconds, 1e6)),
-      lookAfter: choice.isLookAfter,
+      lookAfter: choice.isProbe,
     });
     return { kind: "placed", target: candidate.id };
   }
 
-  #wait(accepted: types.AcceptedRequest, need: placement.PlacementNeed): Promise<Placement> {
+  #wait(
+    accepted: types.AcceptedRequest,
+    placementRequest: placement.PlacementRequest,
+  ): Promise<Placement> {
     const { service, route } = accepted;
-    const line = this.#context.lines.get(service);
-    this.#story.add("waits", { ahead: line.countAhead(accepted.priority) });
+    const queue = this.#context.queues.get(service);
+    this.#trace.add("waits", { ahead: queue.countAhead(accepted.priority) });
     const now = kernel.getMonotonicMilliseconds();
     const waitUntil = Math.min(
-      accepted.arrivedAt + route.objectiveMilliseconds * WAIT_IN_OBJECTIVES,
-      accepted.endsAt - need.typicalMilliseconds,
+      accepted.arrivedAt + route.objectiveMilliseconds * MAX_WAIT_IN_OBJECTIVES,
+      accepted.endsAt - placementRequest.meanProcessingMilliseconds,
     );
     return new Promise((resolve) => {
-      const waiter: placement.Waiter = {
+      const queued: placement.QueuedRequest = {
         priority: accepted.priority,
-        takesAnyTarget: this.#tried.size === 0,
+        acceptsAnyTarget: this.#tried.size === 0,
         waitUntil: Math.max(waitUntil, now),
         tryPlace: () => {
-          const choice = this.#choose(service, need);
+          const choice = this.#choose(service, placementRequest);
           if (choice.kind === "chosen") {
-            this.#caller.signal.removeEventListener("abort", onLeave);
+            this.#caller.signal.removeEventListener("abort", onAbort);
             resolve(this.#createPlacement(choice));
           }
           return choice.kind === "chosen";
         },
-        giveUp: () => {
-          this.#caller.signal.removeEventListener("abort", onLeave);
+        onTimeout: () => {
+          this.#caller.signal.removeEventListener("abort", onAbort);
           resolve({ kind: "refused", reason: "no_room" });
         },
       };
-      const onLeave = () => {
-        line.remove(waiter);
+      const onAbort = () => {
+        queue.remove(queued);
         resolve({ kind: "refused", reason: "caller_left" });
       };
-      this.#caller.signal.addEventListener("abort", onLeave, { once: true });
-      line.add(waiter);
+      this.#caller.signal.addEventListener("abort", onAbort, { once: true });
+      queue.add(queued);
     });
   }
 
@@ -212,26 +224,27 @@
     body: bodies.RequestBody,
     placed: Extract<Placement, { kind: "placed" }>,
   ): Promise<calls.CallResult> {
-    const { knowledge: known, profile, connections: targetConnections } = this.#context;
+    const { tracker, profile, connections: targetConnections } = this.#context;
     const target = kernel.getDefined(
-      known.findTarget(placed.target),
+      tracker.findTarget(placed.target),
       "A candidate is in the directory.",
     );
     this.#tried.add(target.id);
     const attempt = new AbortController();
-    const onLeave = () => {
-      // A request that may not run twice is let run to its end: its caller may ask what came of it.
-      const canRun = this.#hasArrived && body.tooLarge?.aborted !== true;
+    const onAbort = () => {
+      // A request that must not run twice is not cancelled: its caller may later ask for the
+      // outcome.
+      const canRun = this.#hasAttempted && body.tooLarge?.aborted !== true;
       if (accepted.route.isIdempotent || !canRun) {
         attempt.abort("cancelled");
       }
     };
-    this.#caller.signal.addEventListener("abort", onLeave, { once: true });
+    this.#caller.signal.addEventListener("abort", onAbort, { once: true });
     const silence = this.#startSilenceTimer(accepted, attempt);
     const startedAt = kernel.getMonotonicMilliseconds();
-    const stopWatching = this.#watchCall(target.id, startedAt);
-    this.#hasArrived = true;
-    known.begin(target.id);
+    const stopSurvivalTimer = this.#startSurvivalTimer(target.id, startedAt);
+    this.#hasAttempted = true;
+    tracker.beginCall(target.id);
     let result: calls.CallResult;
     try {
       result = await calls.callTarget({
@@ -240,27 +253,30 @@
         body,
         profile,
         connections: targetConnections,
-        connectTimeoutMilliseconds: known.reachability.getConnectTimeout(target.id),
-        noteConnectTime: (milliseconds) =>
-          known.reachability.noteConnected(target.id, milliseconds),
+        connectTimeoutMilliseconds: tracker.reachability.getConnectTimeout(target.id),
+        recordConnectTime: (milliseconds) =>
+          tracker.reachability.recordConnected(target.id, milliseconds),
         signal: attempt.signal,
       });
     } finally {
       silence.stop();
-      stopWatching();
-      this.#caller.signal.removeEventListener("abort", onLeave);
-      known.end(target.id);
-      this.#context.lines.get(accepted.service).advance();
+      stopSurvivalTimer();
+      this.#caller.signal.removeEventListener("abort", onAbort);
+      tracker.endCall(target.id);
+      this.#context.queues.get(accepted.service).advance();
     }
-    this.#learn(accepted, target.id, result, startedAt);
+    this.#recordResult(accepted, target.id, result, startedAt);
     return result;
   }
 
-  /** Learns from a call while it runs: work may take long, and errors come at once. */
-  #watchCall(target: model.TargetId, startedAt: number): () => void {
-    const { knowledge: known } = this.#context;
+  /**
+   * Records that a call outlasts the time within which errors arrive; its success may take far
+   * longer.
+   */
+  #startSurvivalTimer(target: model.TargetId, startedAt: number): () => void {
+    const { tracker } = this.#context;
     const survival = kernel.startInputTimer(
-      () => known.observe(target, "survived", startedAt),
+      () => tracker.recordOutcome(target, "survived", startedAt),
       SURVIVAL_MILLISECONDS,
     );
     return () => survival.stop();
@@ -272,55 +288,60 @@
   ): kernel.StoppableTimer {
     const { route } = accepted;
     const now = kernel.getMonotonicMilliseconds();
-    const typical = this.#context.knowledge.workTimes.getTypical(
+    const mean = this.#context.tracker.processingTimes.getRouteMean(
       route.id,
       route.objectiveMilliseconds,
     );
     const isLast = !route.isIdempotent || this.#tried.size >= route.attempts;
     const left = accepted.endsAt - now;
-    const patience = isLast ? left : Math.min(left, typical * SILENT_AFTER_TYPICAL);
-    return kernel.startInputTimer(() => attempt.abort("silent"), Math.max(0, patience));
+    const timeout = isLast ? left : Math.min(left, mean * SILENT_AFTER_MEAN_TIMES);
+    return kernel.startInputTimer(() => attempt.abort("silent"), Math.max(0, timeout));
   }
 
-  #learn(
+  #recordResult(
     accepted: types.AcceptedRequest,
     target: model.TargetId,
     result: calls.CallResult,
     startedAt: number,
   ): void {
     const milliseconds = kernel.getMonotonicMilliseconds() - startedAt;
-    const { knowledge: known } = this.#context;
+    const { tracker } = this.#context;
     const { route } = accepted;
     switch (result.kind) {
       case "answered": {
         const isError = result.answer.status >= 500;
         this.#mayHaveRun = true;
-        known.observe(target, isError ? "error" : "success", startedAt);
+        tracker.recordOutcome(target, isError ? "error" : "success", startedAt);
         if (!isError) {
-          known.workTimes.record(route.id, target, milliseconds, route.objectiveMilliseconds);
+          tracker.processingTimes.record(
+            route.id,
+            target,
+            milliseconds,
+            route.objectiveMilliseconds,
+          );
         }
-        this.#story.add("answered", { target, status: result.answer.status });
+        this.#trace.add("answered", { target, status: result.answer.status });
         return;
       }
       case "not_run":
         if (result.reason === "shed") {
-          known.observe(target, "shed", startedAt);
-          this.#isCrowded = known.noteShed(target);
+          tracker.recordOutcome(target, "shed", startedAt);
+          this.#isOutOfSlots = tracker.recordShed(target);
         } else {
-          known.markUnreachable(target, result.reason === "unreachable");
+          tracker.recordNotReached(target, result.reason === "unreachable");
         }
-        this.#story.add("not_run", { target, reason: result.reason });
+        this.#trace.add("not_run", { target, reason: result.reason });
         return;
       case "failed":
         this.#mayHaveRun = true;
         if (result.reason !== "cancelled") {
-          known.observe(
+          tracker.recordOutcome(
             target,
             result.reason === "silent" ? "silent" : "broken",
             startedAt,
           );
         }
-        this.#story.add("failed", { target, reason: result.reason });
+        this.#trace.add("failed", { target, reason: result.reason });
         return;
     }
   }
@@ -331,28 +352,28 @@
     result: calls.CallResult,
   ): boolean {
     const { route, service } = accepted;
-    const { budgets: shared, knowledge: known } = this.#context;
-    const isGood = result.kind === "answered" && result.answer.status < 500;
-    if (isGood || this.#caller.signal.aborted || !body.isHeld) {
+    const { budgets, tracker } = this.#context;
+    const isSuccess = result.kind === "answered" && result.answer.status < 500;
+    if (isSuccess || this.#caller.signal.aborted || !body.isBuffered) {
       return false;
     }
-    const isSafe = route.isIdempotent || (result.kind === "not_run" && !this.#mayHaveRun);
-    if (!isSafe || this.#tried.size >= route.attempts) {
-      // A target that was never reached does not count as one that the request was sent to.
-      const isFree = isSafe && result.kind === "not_run" && !result.hasArrived;
-      if (!isFree) {
+    const isSafeToRetry = route.isIdempotent || (result.kind === "not_run" && !this.#mayHaveRun);
+    if (!isSafeToRetry || this.#tried.size >= route.attempts) {
+      // A target that did not receive the request does not count towards the attempts.
+      const isUncounted = isSafeToRetry && result.kind === "not_run" && !result.hasArrived;
+      if (!isUncounted) {
         return false;
       }
     }
-    const typical = known.workTimes.getTypical(route.id, route.objectiveMilliseconds);
+    const mean = tracker.processingTimes.getRouteMean(route.id, route.objectiveMilliseconds);
     const left = accepted.endsAt - kernel.getMonotonicMilliseconds();
-    if (left < typical * MIN_TIME_LEFT_IN_TYPICAL) {
+    if (left < mean * MIN_RETRY_TIME_IN_MEAN_TIMES) {
       return false;
     }
-    const countsAsArrival = !(result.kind === "not_run" && !result.hasArrived);
-    const isAllowed = !countsAsArrival || shared.takeRetry(service);
-    this.#story.add(isAllowed ? "retried" : "no_retry_left", {
-      retryLevel: Number(shared.getRetryLevel(service).toFixed(2)),
+    const countsAsAttempt = !(result.kind === "not_run" && !result.hasArrived);
+    const isAllowed = !countsAsAttempt || budgets.takeRetry(service);
+    this.#trace.add(isAllowed ? "retried" : "no_retry_left", {
+      retryLevel: Number(budgets.getRetryLevel(service).toFixed(2)),
     });
     return isAllowed;
   }
@@ -360,23 +381,23 @@
   #answer(result: calls.CallResult): void {
     switch (result.kind) {
       case "answered":
-        this.#final.passOn(result.answer);
+        this.#finalAnswer.forward(result.answer);
         return;
       case "not_run":
         if (this.#mayHaveRun) {
-          this.#final.refuse({ status: 502, reason: "target_failed" });
+          this.#finalAnswer.refuse({ status: 502, reason: "target_failed" });
         } else {
-          this.#final.refuse({
+          this.#finalAnswer.refuse({
             status: 503,
             reason: "not_reached",
-            retryAfterSeconds: this.#isCrowded
+            retryAfterSeconds: this.#isOutOfSlots
               ? refusals.RETRY_AFTER_SECONDS.noRoom
               : refusals.RETRY_AFTER_SECONDS.notReached,
           });
         }
         return;
       case "failed":
-        this.#final.refuse(
+        this.#finalAnswer.refuse(
           result.reason === "silent"
             ? { status: 504, reason: "timeout" }
             : { status: 502, reason: "target_failed" },
@@ -385,13 +406,13 @@
     }
   }
 
-  /** Answers a request for which no further target was found. */
-  #answerWithout(result: calls.CallResult | undefined, reason: types.RefusalReason): void {
+  /** Sends the final response of a request for which no further target was found. */
+  #answerUnplaced(result: calls.CallResult | undefined, reason: types.RefusalReason): void {
     if (result !== undefined && (result.kind === "answered" || this.#mayHaveRun)) {
       this.#answer(result);
       return;
     }
-    this.#final.refuse({
+    this.#finalAnswer.refuse({
       status: 503,
       reason,
       retryAfterSeconds: refusals.RETRY_AFTER_SECONDS.noRoom,
@@ -399,11 +420,11 @@
   }
 
   #expire(): void {
-    if (this.#final.isGiven) {
+    if (this.#finalAnswer.isDecided) {
       return;
     }
-    this.#final.refuse(
-      this.#hasArrived ? { status: 504, reason: "timeout" } : {
+    this.#finalAnswer.refuse(
+      this.#hasAttempted ? { status: 504, reason: "timeout" } : {
         status: 503,
         reason: "no_room",
         retryAfterSeconds: refusals.RETRY_AFTER_SECONDS.noRoom,
@@ -412,14 +433,14 @@
     this.#caller.abort("cancelled");
   }
 
-  /** Ends a request whose body has turned out too long after its beginning was sent. */
+  /** Ends a request whose body exceeded the limit after its beginning was sent. */
   #refuseLongBody(): void {
-    this.#final.refuse({ status: 413, reason: "body_too_large" });
+    this.#finalAnswer.refuse({ status: 413, reason: "body_too_large" });
     this.#caller.abort("cancelled");
   }
 
   #returnRate(accepted: types.AcceptedRequest): void {
-    if (accepted.workspace !== undefined && !this.#hasArrived) {
+    if (accepted.workspace !== undefined && !this.#hasAttempted) {
       this.#context.budgets.returnRate(accepted.workspace);
     }
   }
--- a/packages/proxy/src/request_log.ts
+++ b/packages/proxy/src/request_log.ts
@@ -1,18 +1,20 @@
 /**
- * The story of each request: one line at its end with every decision on the way, what decided it
- * and how old that was.
+ * Writes a trace of each request to the log: one line at its end with every decision, the inputs of
+ * the decision and their age.
  *
- * A story is written whole or not at all. Those of failed requests go first: successes have a
- * smaller allowance, and what was left out is counted.
+ * A trace is written completely or not at all. The number of lines per second is limited, with a
+ * smaller allowance for successful requests than for failed ones, and omitted traces are counted.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 
-/** Lines a second, failed requests and others. They bound the cost of a flood. */
+/**
+ * Lines per second for failed and for other requests. They limit the cost of a flood of requests.
+ */
 const FAILED_LINES_PER_SECOND = 40;
 const OTHER_LINES_PER_SECOND = 5;
 
-/** One decision. */
+/** One decision in a trace. */
 export interface Step {
   /** Milliseconds after the request's arrival. */
   readonly at: number;
@@ -22,7 +24,7 @@
 
 type StepName = keyof typeof kernel.StorySteps;
 
-/** What decided a step, by the names that the operators' page explains. */
+/** Inputs of a step, under the names that the operators' page documents. */
 type StepInputs<Name extends StepName> = {
   readonly [Input in keyof (typeof kernel.StorySteps)[Name]]?:
     | string
@@ -32,7 +34,7 @@
 };
 
 /** Collects the decisions on one request. */
-export class RequestStory {
+export class RequestTrace {
   readonly id: string;
   readonly arrivedAt = kernel.getMonotonicMilliseconds();
   readonly #steps: Step[] = [];
@@ -51,35 +53,35 @@
   }
 }
 
-/** Writes stories within the allowance. */
+/** Writes traces within the allowance. */
 export class RequestLog {
   readonly #logger: kernel.PartLogger;
   #failedLeft = FAILED_LINES_PER_SECOND;
   #othersLeft = OTHER_LINES_PER_SECOND;
-  #leftOut = 0;
+  #omitted = 0;
   #windowStart = kernel.getMonotonicMilliseconds();
 
   constructor(logger: kernel.PartLogger) {
     this.#logger = logger;
   }
 
-  write(story: RequestStory, outcome: string, status: number): void {
-    this.#renewAllowance();
+  write(trace: RequestTrace, outcome: string, status: number): void {
+    this.#resetAllowance();
     const isFailed = status === 0 || status >= 500 || status === 429;
     const left = isFailed ? this.#failedLeft-- : this.#othersLeft--;
     if (left <= 0) {
-      this.#leftOut++;
+      this.#omitted++;
       return;
     }
     this.#logger.write(kernel.LogMessages.requestEnded, {
-      request: story.id,
+      request: trace.id,
       outcome,
       status,
-      steps: JSON.stringify(story.steps),
+      steps: JSON.stringify(trace.steps),
     });
   }
 
-  #renewAllowance(): void {
+  #resetAllowance(): void {
     const now = kernel.getMonotonicMilliseconds();
     if (now - this.#windowStart < 1_000) {
       return;
@@ -87,9 +89,9 @@
     this.#windowStart = now;
     this.#failedLeft = FAILED_LINES_PER_SECOND;
     this.#othersLeft = OTHER_LINES_PER_SECOND;
-    if (this.#leftOut > 0) {
-      this.#logger.write(kernel.LogMessages.storiesLeftOut, { count: this.#leftOut });
-      this.#leftOut = 0;
+    if (this.#omitted > 0) {
+      this.#logger.write(kernel.LogMessages.storiesLeftOut, { count: this.#omitted });
+      this.#omitted = 0;
     }
   }
 }
--- a/packages/proxy/src/request_queues.ts
+++ b/packages/proxy/src/request_queues.ts
@@ -1,20 +1,20 @@
 /**
- * The requests that wait for each service on this VM.
+ * The request queues of one VM, by service.
  */
 
 import type * as model from "@hemlockwalk/model";
 import * as placement from "@hemlockwalk/placement";
 
-/** Lines by service, created when the first request needs one. */
-export class WaitingLines {
-  readonly #lines = new Map<model.ServiceId, placement.WaitingLine>();
+/** Queues by service, created when the first request needs one. */
+export class RequestQueues {
+  readonly #queues = new Map<model.ServiceId, placement.RequestQueue>();
 
-  get(service: model.ServiceId): placement.WaitingLine {
-    let line = this.#lines.get(service);
-    if (line === undefined) {
-      line = new placement.WaitingLine();
-      this.#lines.set(service, line);
+  get(service: model.ServiceId): placement.RequestQueue {
+    let queue = this.#queues.get(service);
+    if (queue === undefined) {
+      queue = new placement.RequestQueue();
+      this.#queues.set(service, queue);
     }
-    return line;
+    return queue;
   }
 }
--- a/packages/proxy/src/start_gate.ts
+++ b/packages/proxy/src/start_gate.ts
@@ -1,20 +1,20 @@
 /**
- * Holds requests that reach a VM before it knows what it serves.
+ * Holds requests that arrive before a VM has received its declarations and targets.
  *
- * Load that this answers: when many VMs were gone at once, callers' connections stand in line and
- * are all accepted at the moment at which the first VMs listen again, a tenth to a quarter of a
- * second before declarations and targets have reached them. Held for so long these requests are
- * served; refused at once they are lost, since most callers do not come back. A VM that has learnt
- * nothing by then may not learn it soon, so it refuses at once.
+ * Designed for the restart of many VMs at once: callers' connections are queued and are all
+ * accepted when the first VMs listen again, 100 to 250 ms before declarations and targets reach
+ * them. Requests that are held for that time are served. If they were refused at once they would be
+ * lost, since most callers do not retry. A VM that has received nothing by the end of the hold time
+ * is not expected to receive it soon, so it refuses requests at once.
  */
 
 import type * as declarations from "@hemlockwalk/declarations";
 import type * as kernel from "@hemlockwalk/kernel";
 
-/** Requests are held until so long after the start: about twice the longest of 89 VMs (260 ms). */
-export const HOLD_MILLISECONDS = 500;
+/** Longest hold time after the start: about twice the longest time of 89 VMs (260 ms). */
+export const MAX_HOLD_MILLISECONDS = 500;
 
-/** Opens once declarations and targets are known, or when the time is over. */
+/** Opens once declarations and targets are known, or when the hold time is over. */
 export class StartGate implements kernel.Service {
   readonly #store: declarations.DeclarationStore;
   readonly #directory: declarations.TargetDirectory;
@@ -28,17 +28,17 @@
   ) {
     this.#store = store;
     this.#directory = directory;
-    store.onVersion(() => this.#openWhenInformed());
-    directory.onChange(() => this.#openWhenInformed());
+    store.onVersion(() => this.#openWhenReady());
+    directory.onChange(() => this.#openWhenReady());
   }
 
-  /** Whether requests pass at once. */
+  /** Whether requests pass without being held. */
   get isOpen(): boolean {
     return this.#isOpen;
   }
 
   start(): void {
-    this.#timer = setTimeout(() => this.#open(), HOLD_MILLISECONDS);
+    this.#timer = setTimeout(() => this.#open(), MAX_HOLD_MILLISECONDS);
   }
 
   stop(): void {
@@ -50,7 +50,7 @@
     return this.#isOpen ? Promise.resolve() : new Promise((resolve) => this.#waiting.push(resolve));
   }
 
-  #openWhenInformed(): void {
+  #openWhenReady(): void {
     if (!this.#isOpen && this.#store.current !== undefined && this.#directory.getMark() !== 0) {
       this.#open();
     }
--- a/packages/proxy/src/store_follower.ts
+++ b/packages/proxy/src/store_follower.ts
@@ -1,58 +1,74 @@
 /**
  * Reads the store for the whole fleet, with few calls.
  *
- * The first VM of some data centres reads; all others get what was read over the mesh. Whoever has
- * heard of no answer of the store for too long, from anybody, reads too: that way a VM whose peers
- * are cut off or turned away still learns within the bounds. Ranks keep the whole fleet from asking
- * at once.
+ * The first VM of some data centres reads the store; all others receive its updates over the mesh.
+ * A VM also reads if for too long no VM is known to have had a response from the store, so that a
+ * VM whose peers are cut off or rejected by the store still gets updates within the bounds. Ranks
+ * prevent the whole fleet from reading at the same time.
  */
 
 import type * as declarations from "@hemlockwalk/declarations";
 import * as kernel from "@hemlockwalk/kernel";
 import type * as mesh from "@hemlockwalk/mesh";
-import type * as feeds from "./publisher.ts";
+import type * as publishers from "./publisher.ts";
 
-/** Data centres whose first VM reads. Three at once fail rarely. */
+/** Number of data centres whose first VM reads. Three rarely fail at the same time. */
 const READING_DATA_CENTRES = 3;
 
-/** Longest wait of one watch; a watch that stays silent beyond it shows a dead connection. */
+/** Longest wait of one watch; a watch that takes longer indicates a dead connection. */
 const WATCH_MILLISECONDS = 1_200;
 
-/** Changes that come in quick succession are read in one call. */
+/** Minimum interval between reads, so that changes in quick succession are read in one call. */
 const MIN_WATCH_INTERVAL_MILLISECONDS = 150;
 
-/** A VM that is not a reader reads after so long without any answer of the store. */
+/**
+ * A VM that is not a reader reads after this time, plus the time per rank, without a response from
+ * the store to any VM.
+ */
 const STALE_MILLISECONDS = 1_800;
 const STALE_PER_RANK_MILLISECONDS = 250;
 const MAX_RANK = 8;
 
-/** Time for the mesh to form before a VM takes itself for a reader. */
+/** Time that a VM leaves for the mesh to form before it may become a reader. */
 const MIN_START_DELAY_MILLISECONDS = 500;
 const MAX_START_DELAY_MILLISECONDS = 1_500;
 
-/** A VM that replaces another has callers waiting: it reads soon unless its peers were faster. */
+/**
+ * A VM that replaces another already has waiting callers: it reads after this delay unless a peer
+ * has sent it the declarations.
+ */
 const RESTART_DELAY_MILLISECONDS = 60;
 
-/** Beyond that, it reads also when a peer was asked. A small link takes half a second for a lot. */
-const MAX_ANSWER_MILLISECONDS = 800;
-const ANSWER_POLL_MILLISECONDS = 20;
+/**
+ * Longest further wait for declarations requested from a peer. A slow link takes half a second for
+ * large ones.
+ */
+const MAX_SNAPSHOT_WAIT_MILLISECONDS = 800;
+const SNAPSHOT_POLL_MILLISECONDS = 20;
 
 const MIN_BACKOFF_MILLISECONDS = 200;
 const MAX_BACKOFF_MILLISECONDS = 1_500;
 
 const IDLE_POLL_MILLISECONDS = 100;
 
-/** Without any answer for so long, the store is taken to have been away. */
+/**
+ * After this time without a response to any VM, the store is considered to have been unavailable.
+ */
 const OUTAGE_MILLISECONDS = 2_000;
 
-/** Entries that lapsed while the store was away come back within two seconds of its return. */
-const RETURN_MILLISECONDS = 2_300;
+/**
+ * How long removals are held back after the store has recovered: entries that expired while it was
+ * unavailable are registered again within two seconds.
+ */
+const REMOVAL_DELAY_MILLISECONDS = 2_300;
 
-/** Follows the store when this VM has to. */
+/**
+ * Reads and watches the store while this VM is a reader or has no recent confirmation of its data.
+ */
 export class StoreFollower implements kernel.Service {
   readonly #store: declarations.PublishedStore;
   readonly #mesh: mesh.Mesh;
-  readonly #publisher: feeds.Publisher;
+  readonly #publisher: publishers.Publisher;
   readonly #logger: kernel.PartLogger;
   readonly #isFirstStart: boolean;
   readonly #stopping = new AbortController();
@@ -60,13 +76,13 @@
   #asOf: declarations.StoreRevision | undefined;
   #isAvailable = true;
   #failures = 0;
-  #returnedAt = Number.NEGATIVE_INFINITY;
-  #heldGone: declarations.TargetChange[] = [];
+  #recoveredAt = Number.NEGATIVE_INFINITY;
+  #heldRemovals: declarations.TargetChange[] = [];
 
   constructor(
     store: declarations.PublishedStore,
     vmMesh: mesh.Mesh,
-    publisher: feeds.Publisher,
+    publisher: publishers.Publisher,
     logger: kernel.PartLogger,
     isFirstStart: boolean,
   ) {
@@ -81,7 +97,7 @@
     void this.#follow();
   }
 
-  /** Does not wait for a watch under way: its answer is dropped. */
+  /** Does not wait for a pending watch: its result is dropped. */
   stop(): void {
     this.#stopping.abort();
   }
@@ -90,7 +106,7 @@
     const { signal } = this.#stopping;
     await this.#waitForPeers();
     while (!signal.aborted) {
-      this.#releaseHeldGone();
+      this.#publishHeldRemovals();
       if (!this.#mustRead()) {
         this.#asOf = undefined;
         await kernel.sleep(IDLE_POLL_MILLISECONDS, signal);
@@ -108,7 +124,7 @@
     const { signal } = this.#stopping;
     if (!this.#isFirstStart) {
       await kernel.sleep(RESTART_DELAY_MILLISECONDS, signal);
-      await this.#waitForAnswer();
+      await this.#waitForSnapshots();
       if (this.#publisher.isEmpty) {
         await this.#readOnce();
       }
@@ -123,14 +139,14 @@
     }
   }
 
-  /** Waits for declarations that a peer was asked for, which may be large. */
-  async #waitForAnswer(): Promise<void> {
-    const endsAt = kernel.getMonotonicMilliseconds() + MAX_ANSWER_MILLISECONDS;
+  /** Waits for declarations that were requested from a peer, which may be large. */
+  async #waitForSnapshots(): Promise<void> {
+    const endsAt = kernel.getMonotonicMilliseconds() + MAX_SNAPSHOT_WAIT_MILLISECONDS;
     while (
       this.#publisher.isEmpty && this.#mesh.isAwaitingFeeds && !this.#stopping.signal.aborted &&
       kernel.getMonotonicMilliseconds() < endsAt
     ) {
-      await kernel.sleep(ANSWER_POLL_MILLISECONDS, this.#stopping.signal);
+      await kernel.sleep(SNAPSHOT_POLL_MILLISECONDS, this.#stopping.signal);
     }
   }
 
@@ -141,12 +157,12 @@
     }
     const ranked = this.#mesh.rankOwnDataCentre();
     const rank = ranked.findIndex((member) => member.vm === this.#mesh.self.vm);
-    const patience = STALE_MILLISECONDS + Math.min(rank, MAX_RANK) * STALE_PER_RANK_MILLISECONDS;
-    return this.#getAge() > patience;
+    const staleAfter = STALE_MILLISECONDS + Math.min(rank, MAX_RANK) * STALE_PER_RANK_MILLISECONDS;
+    return this.#getConfirmationAge() > staleAfter;
   }
 
-  /** Time since the store's latest answer to any VM, or since the start, in milliseconds. */
-  #getAge(): number {
+  /** Time since the store's latest response to any VM, or since the start, in milliseconds. */
+  #getConfirmationAge(): number {
     return kernel.getMonotonicMilliseconds() - Math.max(this.#mesh.confirmedAt, this.#startedAt);
   }
 
@@ -159,54 +175,59 @@
       return false;
     }
     if (result.isErr()) {
-      this.#noteFailure(result.error);
+      this.#recordFailure(result.error);
       return false;
     }
-    this.#noteAnswer();
+    this.#recordResponse();
     this.#asOf = result.value.asOf;
     this.#publish(result.value, since === undefined);
     return true;
   }
 
-  #publish(update: declarations.StoreUpdate, isWhole: boolean): void {
+  #publish(update: declarations.StoreUpdate, isSnapshot: boolean): void {
     if (update.declarations !== undefined) {
       this.#publisher.publishDeclarations(update.declarations);
     }
-    const gone = update.changes.filter((change) => change.entry === undefined);
-    if (isWhole) {
+    const removals = update.changes.filter((change) => change.entry === undefined);
+    if (isSnapshot) {
       const present = new Set(update.changes.map((change) => change.id));
-      gone.push(...this.#publisher.directory.listMissing(present, update.asOf));
+      removals.push(...this.#publisher.directory.listMissing(present, update.asOf));
     }
     this.#publisher.publishTargets(update.changes.filter((change) => change.entry !== undefined));
     const now = kernel.getMonotonicMilliseconds();
-    if (now - this.#returnedAt < RETURN_MILLISECONDS) {
-      this.#heldGone.push(...gone);
+    if (now - this.#recoveredAt < REMOVAL_DELAY_MILLISECONDS) {
+      this.#heldRemovals.push(...removals);
     } else {
-      this.#publisher.publishTargets(gone);
+      this.#publisher.publishTargets(removals);
     }
   }
 
-  /** Targets that have not come back in time are gone. Later changes of a target go first. */
-  #releaseHeldGone(): void {
+  /**
+   * Publishes the removal of targets that were not registered again in time. Later changes of a
+   * target take precedence.
+   */
+  #publishHeldRemovals(): void {
     const now = kernel.getMonotonicMilliseconds();
-    if (this.#heldGone.length > 0 && now - this.#returnedAt >= RETURN_MILLISECONDS) {
-      this.#publisher.publishTargets(this.#heldGone.splice(0));
+    if (this.#heldRemovals.length > 0 && now - this.#recoveredAt >= REMOVAL_DELAY_MILLISECONDS) {
+      this.#publisher.publishTargets(this.#heldRemovals.splice(0));
     }
   }
 
-  #noteAnswer(): void {
-    if (!this.#isAvailable || this.#getAge() > OUTAGE_MILLISECONDS) {
-      this.#logger.write(kernel.LogMessages.storeAnswers, { silentMilliseconds: this.#getAge() });
+  #recordResponse(): void {
+    if (!this.#isAvailable || this.#getConfirmationAge() > OUTAGE_MILLISECONDS) {
+      this.#logger.write(kernel.LogMessages.storeAnswers, {
+        silentMilliseconds: this.#getConfirmationAge(),
+      });
     }
-    if (this.#getAge() > OUTAGE_MILLISECONDS) {
-      this.#returnedAt = kernel.getMonotonicMilliseconds();
+    if (this.#getConfirmationAge() > OUTAGE_MILLISECONDS) {
+      this.#recoveredAt = kernel.getMonotonicMilliseconds();
     }
     this.#isAvailable = true;
     this.#failures = 0;
     this.#mesh.confirm();
   }
 
-  #noteFailure(failure: declarations.StoreFailure): void {
+  #recordFailure(failure: declarations.StoreFailure): void {
     if (failure === "history_lost") {
       this.#asOf = undefined;
       return;
--- a/packages/proxy/src/target_call.ts
+++ b/packages/proxy/src/target_call.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt: a request sent to one target, and what came of it.
+ * One attempt: sends a request to one target and classifies the result.
  */
 
 import * as http from "node:http";
@@ -11,17 +11,17 @@
 import type * as connections from "./target_connections.ts";
 import type * as types from "./types.ts";
 
-/** Answers up to this size are taken whole before the caller gets any of them. */
-const HELD_ANSWER_BYTES = 262_144;
+/** Responses up to this size are buffered completely before they are forwarded to the caller. */
+const MAX_BUFFERED_ANSWER_BYTES = 262_144;
 
-/** A target's answer: taken whole, or its beginning and the rest to come. */
+/** A target's response: buffered completely, or its beginning and the stream of the rest. */
 export interface TargetAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly chunks: readonly Buffer[];
-  /** The rest of a long answer. */
+  /** The rest of a long response. */
   readonly rest: http.IncomingMessage | undefined;
-  /** Whether its end is marked by a length or by chunks, and not by the end of the connection. */
+  /** Whether its end is determined by a length or by chunks, not by the end of the connection. */
   readonly isFramed: boolean;
 }
 
@@ -32,7 +32,7 @@
   | {
     readonly kind: "not_run";
     readonly reason: "unreachable" | "shed" | "other_target";
-    /** Whether the request arrived at a target, which counts as an arrival. */
+    /** Whether the request arrived at a target, which counts as an attempt. */
     readonly hasArrived: boolean;
   }
   /** The target may have run the request. */
@@ -41,22 +41,22 @@
     readonly reason: "reset" | "spoilt" | "cut_short" | "silent" | "cancelled";
   };
 
-/** What one attempt needs. */
+/** Options of one attempt. */
 export interface CallOptions {
   readonly request: types.AcceptedRequest;
   readonly target: declarations.TargetEntry;
   readonly body: bodies.RequestBody;
   readonly profile: types.HeaderProfile;
   readonly connections: connections.TargetConnections;
-  /** Longest time for a new connection. */
+  /** Connect timeout. */
   readonly connectTimeoutMilliseconds: number;
-  /** Told how long a new connection took. */
-  readonly noteConnectTime: (milliseconds: number) => void;
+  /** Called with the time that a new connection took. */
+  readonly recordConnectTime: (milliseconds: number) => void;
   /** Ends the attempt. The reason of the signal is `silent` or `cancelled`. */
   readonly signal: AbortSignal;
 }
 
-/** Sends a request to a target and waits for its answer. */
+/** Sends a request to a target and waits for its response. */
 export function callTarget(options: CallOptions): Promise<CallResult> {
   return new Promise((resolve) => new TargetCall(options, resolve));
 }
@@ -75,7 +75,7 @@
     this.#resolve = resolve;
     const { request, target, body } = options;
     const { host, port } = kernel.splitAddress(target.address);
-    options.connections.prepare(host, port, request.route.isIdempotent);
+    options.connections.closeUnusable(host, port, request.route.isIdempotent);
     this.#outgoing = http.request({
       agent: options.connections,
       host,
@@ -99,11 +99,11 @@
       );
       socket.once("connect", () => {
         this.#isConnected = true;
-        options.noteConnectTime(kernel.getMonotonicMilliseconds() - startedAt);
+        options.recordConnectTime(kernel.getMonotonicMilliseconds() - startedAt);
         this.#connectTimer?.stop();
       });
     });
-    this.#outgoing.once("response", (incoming) => this.#receive(incoming));
+    this.#outgoing.once("response", (incoming) => this.#handleResponse(incoming));
     this.#outgoing.on("error", (error: NodeJS.ErrnoException) => {
       this.#fail(error.code?.startsWith("HPE_") === true ? "spoilt" : "reset");
     });
@@ -138,7 +138,7 @@
     return created;
   }
 
-  #receive(incoming: http.IncomingMessage): void {
+  #handleResponse(incoming: http.IncomingMessage): void {
     const { profile, request } = this.#options;
     const status = incoming.statusCode ?? 0;
     if (incoming.headers[profile.notRun] !== undefined || status === 421) {
@@ -152,15 +152,15 @@
     }
     const echoed = incoming.headers[profile.requestId.toLowerCase()];
     const isSigned = incoming.headers[profile.signature] !== undefined;
-    const isForeign = echoed !== request.id || (status >= 200 && status < 300 && !isSigned);
-    if (isForeign) {
+    const isMismatched = echoed !== request.id || (status >= 200 && status < 300 && !isSigned);
+    if (isMismatched) {
       this.#fail("spoilt");
       return;
     }
-    this.#collect(incoming, status);
+    this.#readAnswer(incoming, status);
   }
 
-  #collect(incoming: http.IncomingMessage, status: number): void {
+  #readAnswer(incoming: http.IncomingMessage, status: number): void {
     const chunks: Buffer[] = [];
     let bytes = 0;
     const createAnswer = (rest: http.IncomingMessage | undefined): CallResult => ({
@@ -176,7 +176,7 @@
     const onData = (chunk: Buffer) => {
       chunks.push(chunk);
       bytes += chunk.length;
-      if (bytes > HELD_ANSWER_BYTES) {
+      if (bytes > MAX_BUFFERED_ANSWER_BYTES) {
         incoming.pause();
         incoming.off("data", onData);
         incoming.off("end", onEnd);
@@ -197,7 +197,10 @@
     incoming.once("aborted", () => this.#fail("cut_short"));
   }
 
-  /** An answer without a length ends with its connection, which a reset does not end properly. */
+  /**
+   * Whether an unframed response was cut off: it ends with its connection, and a reset is no proper
+   * end.
+   */
   #isReset(incoming: http.IncomingMessage): boolean {
     return !isFramed(incoming) && (this.#socket?.errored ?? null) !== null;
   }
@@ -207,10 +210,10 @@
     const socket = kernel.getDefined(this.#socket, "An answer comes over a connection.");
     const keepAlive = incoming.headers["keep-alive"];
     if (body.isSent && this.#outgoing.writableFinished) {
-      connections.noteIdleTime(socket, keepAlive?.toString());
+      connections.recordIdleTimeout(socket, keepAlive?.toString());
     } else {
-      // The target may still read a body that is no longer being sent.
-      connections.spoil(socket);
+      // The target may still be reading a body that is no longer being sent.
+      connections.excludeFromReuse(socket);
     }
   }
 
--- a/packages/proxy/src/target_tracker.ts
+++ b/packages/proxy/src/target_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * What the fleet knows of the targets: the outcomes of all VMs' calls and the load of all VMs.
+ * Tracks the state of the targets: the outcomes of all VMs' calls and the load of all VMs.
  */
 
 import type * as declarations from "@hemlockwalk/declarations";
@@ -9,33 +9,36 @@
 import * as placement from "@hemlockwalk/placement";
 import * as reach from "./reachability.ts";
 
-/** A target whose address answers for another one is avoided for so long; its entry is old. */
+/**
+ * How long a target is avoided after another target has responded at its address, which means that
+ * its entry is out of date.
+ */
 const MISDIRECTED_MILLISECONDS = 700;
 
-/** A target that sheds is taken as full for so long. */
+/** How long a target that shed a request is treated as having no free slot. */
 const FULL_MILLISECONDS = 150;
 
-/** News of others' calls are on their way for about so long. */
-const NEWS_DELAY_MILLISECONDS = 80;
+/** Approximate propagation delay of other VMs' outcomes. */
+const PROPAGATION_DELAY_MILLISECONDS = 80;
 
-/** Outcomes that other VMs should hear of at once. */
+/** Outcomes that are reported to the other VMs without delay. */
 const URGENT_OUTCOMES: ReadonlySet<placement.Outcome> = new Set(["error", "silent"]);
 
-/** Every so often all loads are told, in case that a report was lost on a change of its path. */
+/** Interval in which all loads are reported, in case a report was lost while its path changed. */
 const FULL_LOADS_INTERVAL_MILLISECONDS = 2_000;
 
-/** Loads of one VM: all that are not zero, or just those that have changed. */
+/** Loads of one VM: all that are not zero, or only those that have changed. */
 type LoadPayload = readonly [isFull: boolean, loads: Record<string, number>];
 
-/** What is told of outcomes of one kind. */
+/** Outcomes of one kind that are to be reported. */
 interface OutcomeSummary {
   count: number;
   /** Monotonic time at which the latest of the calls began, in milliseconds. */
   startedAt: number;
 }
 
-/** A summary as it travels; times of one VM mean nothing to another. */
-type OutcomeNews = readonly [
+/** A summary as sent to other VMs. It holds a relative time, since the clocks of VMs differ. */
+type OutcomeReport = readonly [
   outcome: placement.Outcome,
   count: number,
   startedAgoMilliseconds: number,
@@ -44,7 +47,7 @@
 type OutcomeTable = Map<placement.Outcome, OutcomeSummary>;
 
 interface TargetRecord {
-  belief: placement.TargetBelief;
+  health: placement.HealthEstimate;
   ownLoad: number;
   readonly loadByVm: Map<model.VmId, number>;
   othersLoad: number;
@@ -52,8 +55,8 @@
   fullUntil: number;
 }
 
-/** Beliefs and loads by target. */
-export class TargetKnowledge {
+/** Tracks the health and load of each target. */
+export class TargetTracker {
   readonly #directory: declarations.TargetDirectory;
   readonly #mesh: mesh.Mesh;
   readonly #logger: kernel.PartLogger;
@@ -61,7 +64,7 @@
   #unreportedOutcomes = new Map<model.TargetId, OutcomeTable>();
   #fullLoadsAt = Number.NEGATIVE_INFINITY;
   readonly #unreportedLoads = new Set<model.TargetId>();
-  readonly workTimes = new placement.WorkTimes();
+  readonly processingTimes = new placement.ProcessingTimes();
   readonly reachability: reach.Reachability;
 
   constructor(
@@ -76,7 +79,7 @@
       (target) => directory.find(target)?.address,
       logger,
     );
-    directory.onChange((change, previous) => this.#forgetOldLife(change, previous));
+    directory.onChange((change, previous) => this.#resetReplacedTarget(change, previous));
     vmMesh.addSection("outcomes", {
       collect: () => this.#collectOutcomes(),
       receive: (_from, payload) => this.#receiveOutcomes(payload),
@@ -87,7 +90,7 @@
     });
   }
 
-  /** The candidates of a service, but for those already tried. */
+  /** Lists the candidates of a service, without the excluded targets. */
   listCandidates(
     service: model.ServiceId,
     excluded: ReadonlySet<model.TargetId>,
@@ -102,40 +105,42 @@
     return this.#directory.find(target);
   }
 
-  begin(target: model.TargetId): void {
+  beginCall(target: model.TargetId): void {
     this.#getRecord(target).ownLoad++;
     this.#unreportedLoads.add(target);
   }
 
-  end(target: model.TargetId): void {
+  endCall(target: model.TargetId): void {
     this.#getRecord(target).ownLoad--;
     this.#unreportedLoads.add(target);
   }
 
   /**
-   * Takes the outcome of a call of this VM.
+   * Records the outcome of a call of this VM.
    *
    * @param startedAt Monotonic time at which the call began, in milliseconds.
    */
-  observe(target: model.TargetId, outcome: placement.Outcome, startedAt: number): void {
+  recordOutcome(target: model.TargetId, outcome: placement.Outcome, startedAt: number): void {
     const record = this.#getRecord(target);
-    const before = record.belief.sickness;
-    record.belief.observe(outcome, startedAt);
+    const before = record.health.failureProbability;
+    record.health.recordOutcome(outcome, startedAt);
     const table = this.#unreportedOutcomes.get(target) ?? new Map<never, never>();
-    const known = table.get(outcome);
+    const previous = table.get(outcome);
     table.set(outcome, {
-      count: (known?.count ?? 0) + 1,
-      startedAt: Math.max(known?.startedAt ?? startedAt, startedAt),
+      count: (previous?.count ?? 0) + 1,
+      startedAt: Math.max(previous?.startedAt ?? startedAt, startedAt),
     });
     this.#unreportedOutcomes.set(target, table);
     if (URGENT_OUTCOMES.has(outcome)) {
       this.#mesh.hurry();
     }
-    this.#logChange(target, before, record.belief.sickness, outcome);
+    this.#logChange(target, before, record.health.failureProbability, outcome);
   }
 
-  /** Notes that a target has shed a request; returns whether its slots seemed to be taken. */
-  noteShed(target: model.TargetId): boolean {
+  /**
+   * Records that a target has shed a request; returns whether all its slots seemed to be in use.
+   */
+  recordShed(target: model.TargetId): boolean {
     const record = this.#getRecord(target);
     const slots = this.#directory.find(target)?.slots ?? 0;
     const isFull = record.ownLoad + record.othersLoad >= slots;
@@ -145,18 +150,21 @@
     return isFull;
   }
 
-  /** Notes that this VM could not reach a target, or reached another one at its address. */
-  markUnreachable(target: model.TargetId, isCut: boolean): void {
-    if (isCut) {
-      this.reachability.noteUnreachable(target);
+  /**
+   * Records that this VM could not connect to a target, or that another target responded at its
+   * address.
+   */
+  recordNotReached(target: model.TargetId, isUnreachable: boolean): void {
+    if (isUnreachable) {
+      this.reachability.recordUnreachable(target);
       return;
     }
     this.#getRecord(target).avoidedUntil = kernel.getMonotonicMilliseconds() +
       MISDIRECTED_MILLISECONDS;
   }
 
-  /** Drops the loads of VMs that are gone. */
-  dropGoneVms(): void {
+  /** Drops the loads of VMs that have left, and the state of targets that are gone. */
+  dropDepartedVms(): void {
     const present = new Set(this.#mesh.listOthers().map((member) => member.vm));
     for (const [target, record] of this.#records) {
       for (const [vm, load] of record.loadByVm) {
@@ -169,8 +177,8 @@
         record.loadByVm.size === 0;
       if (isUnused) {
         this.#records.delete(target);
-        this.workTimes.forgetTarget(target);
-        this.reachability.forget(target);
+        this.processingTimes.removeTarget(target);
+        this.reachability.removeTarget(target);
       }
     }
   }
@@ -184,10 +192,10 @@
       id: entry.id,
       slots: entry.slots,
       load: isFull ? Math.max(load, entry.slots) : load,
-      sickness: record.belief.sickness,
-      unobservedMilliseconds: now - record.belief.observedAt,
-      evidenceAgeMilliseconds: now - record.belief.speaksOf,
-      slowness: this.workTimes.getSlowness(entry.id),
+      failureProbability: record.health.failureProbability,
+      sinceLastOutcomeMilliseconds: now - record.health.lastOutcomeAt,
+      evidenceAgeMilliseconds: now - record.health.evidenceAt,
+      relativeProcessingTime: this.processingTimes.getRelativeTime(entry.id),
       isUnreachable: record.avoidedUntil > now || !this.reachability.isReachable(entry.id),
       isRemote: entry.dataCentre !== this.#mesh.self.dataCentre,
       warmUpMilliseconds: Math.max(0, entry.warmUpMilliseconds - knownFor),
@@ -198,7 +206,7 @@
     let record = this.#records.get(target);
     if (record === undefined) {
       record = {
-        belief: new placement.TargetBelief(),
+        health: new placement.HealthEstimate(),
         ownLoad: 0,
         loadByVm: new Map(),
         othersLoad: 0,
@@ -210,18 +218,18 @@
     return record;
   }
 
-  #forgetOldLife(
+  #resetReplacedTarget(
     change: declarations.TargetChange,
     previous: declarations.TargetEntry | undefined,
   ): void {
-    const isSameLife = change.entry === undefined || previous === undefined ||
+    const isSameInstance = change.entry === undefined || previous === undefined ||
       (change.entry.startedAt === previous.startedAt && change.entry.address === previous.address);
     const record = this.#records.get(change.id);
-    if (!isSameLife && record !== undefined) {
-      record.belief = new placement.TargetBelief();
+    if (!isSameInstance && record !== undefined) {
+      record.health = new placement.HealthEstimate();
       record.avoidedUntil = 0;
-      this.workTimes.forgetTarget(change.id);
-      this.reachability.forget(change.id);
+      this.processingTimes.removeTarget(change.id);
+      this.reachability.removeTarget(change.id);
     }
   }
 
@@ -230,27 +238,27 @@
       return undefined;
     }
     const now = kernel.getMonotonicMilliseconds();
-    const news: Record<string, OutcomeNews[]> = {};
+    const reports: Record<string, OutcomeReport[]> = {};
     for (const [target, table] of this.#unreportedOutcomes) {
-      news[target] = [...table].map(([outcome, { count, startedAt }]) => [
+      reports[target] = [...table].map(([outcome, { count, startedAt }]) => [
         outcome,
         count,
         Math.round(now - startedAt),
       ]);
     }
     this.#unreportedOutcomes = new Map();
-    return news;
+    return reports;
   }
 
   #receiveOutcomes(payload: unknown): void {
-    const now = kernel.getMonotonicMilliseconds() - NEWS_DELAY_MILLISECONDS;
-    for (const [target, news] of Object.entries(payload as Record<string, OutcomeNews[]>)) {
+    const now = kernel.getMonotonicMilliseconds() - PROPAGATION_DELAY_MILLISECONDS;
+    for (const [target, reports] of Object.entries(payload as Record<string, OutcomeReport[]>)) {
       const record = this.#getRecord(target as model.TargetId);
-      const before = record.belief.sickness;
-      for (const [outcome, count, startedAgo] of news) {
-        record.belief.observe(outcome, now - startedAgo, count);
+      const before = record.health.failureProbability;
+      for (const [outcome, count, startedAgo] of reports) {
+        record.health.recordOutcome(outcome, now - startedAgo, count);
       }
-      this.#logChange(target, before, record.belief.sickness, "told");
+      this.#logChange(target, before, record.health.failureProbability, "told");
     }
   }
 
@@ -290,11 +298,11 @@
   }
 
   #logChange(target: string, before: number, after: number, cause: string): void {
-    const wasDoubted = before > 0.5;
-    const isDoubted = after > 0.5;
-    if (wasDoubted !== isDoubted) {
+    const wasSuspected = before > 0.5;
+    const isSuspected = after > 0.5;
+    if (wasSuspected !== isSuspected) {
       const { targetDoubted, targetTrusted } = kernel.LogMessages;
-      this.#logger.write(isDoubted ? targetDoubted : targetTrusted, {
+      this.#logger.write(isSuspected ? targetDoubted : targetTrusted, {
         target,
         sicknessBefore: Number(before.toFixed(3)),
         sickness: Number(after.toFixed(3)),
--- a/packages/proxy/src/types.ts
+++ b/packages/proxy/src/types.ts
@@ -5,41 +5,41 @@
 import type * as declarations from "@hemlockwalk/declarations";
 import type * as model from "@hemlockwalk/model";
 
-/** Names, in lower case, under which callers and targets exchange what the request path must know. */
+/** Names, in lower case, of the headers that the proxy exchanges with callers and targets. */
 export interface HeaderProfile {
-  /** Identifier of one request, echoed in its answer. */
+  /** Identifier of a request, echoed in its response. */
   readonly requestId: string;
-  /** Milliseconds that the caller waits; towards targets, what is left of them. */
+  /** Milliseconds that the caller waits; in a request to a target, the remaining time. */
   readonly deadline: string;
   /** Identifier of the only target that may run the request. */
   readonly expectedTarget: string;
   /** Workspace for which the request runs. */
   readonly workspace: string;
-  /** Mark of a target's answer that it has not run the request. */
+  /** Present in the response of a target that has not run the request. */
   readonly notRun: string;
-  /** Mark of an answer that a target itself has made. */
+  /** Present in a response that was created by the target itself. */
   readonly signature: string;
   /** Authentication scheme of a caller's key. */
   readonly keyScheme: string;
 }
 
-/** Fleet-wide bounds that the operator's platform sets. */
+/** Fleet-wide bounds, set by the operator's platform. */
 export interface ProxyBounds {
-  /** Retries against the requests for a service. */
+  /** Ratio of retries to requests of a service. */
   readonly retryRatio: number;
-  /** Retries beyond that ratio within a window. */
+  /** Retries allowed beyond that ratio within a window. */
   readonly retrySlack: number;
-  /** Window over which a workspace's rate is judged, in seconds. */
+  /** Window over which a workspace's rate is evaluated, in seconds. */
   readonly rateWindowSeconds: number;
-  /** Tolerated excess over rate and burst within the window, as a share. */
+  /** Tolerated excess over rate and burst within the window, as a share of them. */
   readonly rateExcess: number;
-  /** Requests tolerated beyond that. */
+  /** Requests tolerated beyond that excess. */
   readonly rateSlack: number;
-  /** From the signal to stop to the end of the process, in milliseconds. */
+  /** Time from the stop signal to the end of the process, in milliseconds. */
   readonly graceMilliseconds: number;
 }
 
-/** A request whose head has been accepted. */
+/** A request that has passed admission. */
 export interface AcceptedRequest {
   readonly id: string;
   readonly route: declarations.DeclaredRoute;
@@ -48,15 +48,15 @@
   readonly priority: number;
   /** Monotonic time of its arrival, in milliseconds. */
   readonly arrivedAt: number;
-  /** Monotonic time at which it must have its final answer. */
+  /** Monotonic time by which it must have its final response, in milliseconds. */
   readonly endsAt: number;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn, without what concerns one connection or the caller's key. */
+  /** Names and values in turn, without the caller's key and the headers of a single connection. */
   readonly headers: readonly string[];
 }
 
-/** Why the proxy itself ended a request. The names appear in metrics, logs and answers. */
+/** Why the proxy itself ended a request. The names appear in metrics, logs and responses. */
 export type RefusalReason =
   | "no_declarations"
   | "unknown_route"
--- a/packages/proxy/test/fleet_test.ts
+++ b/packages/proxy/test/fleet_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of several VMs in one process: what one of them reads, all of them obey.
+ * Tests of several VMs in one process: all VMs apply what one of them reads from the store.
  */
 
 import * as assert from "node:assert/strict";
@@ -9,28 +9,28 @@
 import * as model from "@hemlockwalk/model";
 import * as harness from "./harness.ts";
 
-/** Drains and withdrawn keys bind after this time. */
+/** Drains and withdrawn keys are in force after this time. */
 const BOUND_MILLISECONDS = 2_000;
 
 async function withFleet(
-  run: (reading: harness.TestVm, turnedAway: harness.TestVm) => Promise<void>,
+  run: (reading: harness.TestVm, withoutStore: harness.TestVm) => Promise<void>,
 ): Promise<void> {
   const reading = new harness.TestVm();
-  const closedStore = new harness.MemoryStore();
-  closedStore.isAvailable = false;
-  let turnedAway: harness.TestVm | undefined;
+  const unavailableStore = new harness.MemoryStore();
+  unavailableStore.isAvailable = false;
+  let withoutStore: harness.TestVm | undefined;
   try {
     await reading.start(2);
-    turnedAway = new harness.TestVm({
-      name: "vm-turned-away",
-      store: closedStore,
+    withoutStore = new harness.TestVm({
+      name: "vm-without-store",
+      store: unavailableStore,
       seeds: [reading.peerAddress],
     });
-    await turnedAway.start(0);
-    await run(reading, turnedAway);
+    await withoutStore.start(0);
+    await run(reading, withoutStore);
   } finally {
-    // A VM that has failed to start is stopped too, or its sockets would keep the process alive.
-    await Promise.all([turnedAway?.stop(), reading.stop()]);
+    // A VM that failed to start is stopped too, since its sockets would keep the process alive.
+    await Promise.all([withoutStore?.stop(), reading.stop()]);
   }
 }
 
@@ -47,9 +47,9 @@
 }
 
 test.describe("fleet", { concurrency: 4 }, () => {
-  test.test("a VM that the store turns away serves, and obeys drains and withdrawn keys", async () => {
-    await withFleet(async (reading, turnedAway) => {
-      assert.equal((await turnedAway.call()).status, 200);
+  test.test("a VM without access to the store serves, and applies drains and withdrawn keys", async () => {
+    await withFleet(async (reading, withoutStore) => {
+      assert.equal((await withoutStore.call()).status, 200);
       const [first] = reading.targets;
       assert.ok(first !== undefined);
       reading.store.put(first.createChange(60, { isDraining: true }));
@@ -64,24 +64,24 @@
       });
       await kernel.sleep(BOUND_MILLISECONDS);
       const before = first.requests.length;
-      assert.equal((await turnedAway.call()).status, 401);
+      assert.equal((await withoutStore.call()).status, 401);
       for (let round = 0; round < 4; round++) {
-        const answer = await turnedAway.call({ headers: { Authorization: "Bearer new" } });
+        const answer = await withoutStore.call({ headers: { Authorization: "Bearer new" } });
         assert.equal(answer.status, 200);
       }
       assert.equal(first.requests.length, before);
     });
   });
 
-  test.test("a rate holds for both VMs together", async () => {
-    await withFleet(async (reading, turnedAway) => {
+  test.test("a rate limit applies to both VMs together", async () => {
+    await withFleet(async (reading, withoutStore) => {
       reading.store.declared = limitWorkspace(5, 10);
       reading.store.revision++;
       await kernel.sleep(BOUND_MILLISECONDS);
       let served = 0;
       const startedAt = performance.now();
       while (performance.now() - startedAt < 3_000) {
-        const answers = await Promise.all([reading.call(), turnedAway.call()]);
+        const answers = await Promise.all([reading.call(), withoutStore.call()]);
         served += answers.filter((answer) => answer.status === 200).length;
         assert.ok(answers.every((answer) => [200, 429].includes(answer.status)));
         await kernel.sleep(20);
@@ -92,7 +92,7 @@
     });
   });
 
-  test.test("a VM that joins does not count again what others took before its start", async () => {
+  test.test("a VM that joins does not count again the tokens taken before its start", async () => {
     await withFleet(async (reading) => {
       reading.store.declared = limitWorkspace(20, 10);
       reading.store.revision++;
@@ -103,7 +103,7 @@
           await kernel.sleep(100);
         }
       };
-      // Several times the burst, at half of the rate.
+      // Several times the burst, at half the rate.
       await callReading(40);
       const joining = new harness.TestVm({
         name: "vm-joining",
@@ -123,7 +123,7 @@
     });
   });
 
-  test.test("entries that lapse while the store is away stay in use until it is back", async () => {
+  test.test("entries that expire while the store is unavailable stay in use until it has recovered", async () => {
     await withFleet(async (reading) => {
       const { store } = reading;
       const entries = [...store.targets.values()];
--- a/packages/proxy/test/harness.ts
+++ b/packages/proxy/test/harness.ts
@@ -1,5 +1,5 @@
 /**
- * A whole VM with targets and a store in one process, for tests of the request path.
+ * A complete VM with targets and a store in one process, for tests of the request path.
  */
 
 import * as assert from "node:assert/strict";
@@ -32,18 +32,18 @@
   graceMilliseconds: 5_000,
 };
 
-/** Longest time for news to be in force. */
-const NEWS_MILLISECONDS = 5_000;
+/** Longest time until a change is in force. */
+const MAX_PROPAGATION_MILLISECONDS = 5_000;
 
-/** How a target answers. */
+/** How a target responds. */
 export type Behaviour = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
   body: string,
 ) => void;
 
-/** Answers as a sound target does. */
-export function answerWell(request: http.IncomingMessage, response: http.ServerResponse): void {
+/** Responds as a healthy target does. */
+export function answerSuccess(request: http.IncomingMessage, response: http.ServerResponse): void {
   response.writeHead(200, createAnswerHeaders(request));
   response.end("done");
 }
@@ -55,12 +55,12 @@
   };
 }
 
-/** A target that records what reaches it. */
+/** A target that records the requests it receives. */
 export class TestTarget {
   readonly id: model.TargetId;
   readonly requests: http.IncomingMessage[] = [];
   readonly #server: http.Server;
-  behaviour: Behaviour = answerWell;
+  behaviour: Behaviour = answerSuccess;
 
   constructor(id: string) {
     this.id = model.createTargetId(id);
@@ -97,7 +97,7 @@
   }
 }
 
-/** A store in memory. */
+/** An in-memory store. */
 export class MemoryStore implements declarations.PublishedStore {
   revision = 1;
   declared: declarations.Declarations | undefined;
@@ -168,17 +168,17 @@
   });
 }
 
-/** An answer as a caller sees it. */
+/** A response as a caller sees it. */
 export interface CallerAnswer {
-  /** 0 when the connection ended without an answer. */
+  /** 0 if the connection ended without a response. */
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer was framed and complete. */
+  /** Whether the response was framed and complete. */
   readonly isComplete: boolean;
 }
 
-/** What a caller sends. */
+/** A request as a caller sends it. */
 export interface CallerRequest {
   readonly path?: string;
   readonly method?: string;
@@ -194,11 +194,11 @@
   readonly request?: string;
   readonly outcome?: string;
   readonly status?: number;
-  /** A JSON text. */
+  /** The trace, as JSON. */
   readonly steps?: string;
 }
 
-/** What a test VM shares with others. */
+/** Settings of a test VM. */
 export interface TestVmOptions {
   readonly name: string;
   readonly store: MemoryStore;
@@ -209,7 +209,7 @@
 export class TestVm {
   readonly store: MemoryStore;
   readonly targets: TestTarget[] = [];
-  /** What the VM has written to its log. */
+  /** The lines of the VM's log. */
   readonly log: LogLine[] = [];
   port = 0;
   peerAddress = "";
@@ -264,7 +264,7 @@
     const logger = new kernel.PartLogger(rootLogger, "store");
     this.#vm.kernel.register(
       kernel.createServiceName<kernel.Service>("store-follower"),
-      // As after a restart, so that the test need not wait for peers.
+      // As after a restart, so that the test does not wait for peers.
       new proxy.StoreFollower(this.store, this.#vm.mesh, this.#vm.publisher, logger, false),
     );
     await this.#vm.kernel.start();
@@ -328,12 +328,12 @@
     });
   }
 
-  /** The story of a request as the log tells it. */
-  getStory(request: string): { line: LogLine; steps: readonly Record<string, unknown>[] } {
+  /** The trace of a request in the log. */
+  getTrace(request: string): { line: LogLine; steps: readonly Record<string, unknown>[] } {
     const line =
       this.log.find((one) =>
         one.code === kernel.LogMessages.requestEnded.code && one.request === request
-      ) ?? assert.fail(`no story of ${request}`);
+      ) ?? assert.fail(`no trace of ${request}`);
     return { line, steps: JSON.parse(line.steps ?? "") as Record<string, unknown>[] };
   }
 
@@ -357,7 +357,7 @@
   }
 }
 
-/** Waits until a condition holds, at most for the time that a VM has for any news. */
+/** Waits until a condition holds, at most as long as a change may take to be in force. */
 export function waitFor(condition: () => boolean, what: string): Promise<void> {
-  return kernelTesting.waitFor(condition, what, NEWS_MILLISECONDS);
+  return kernelTesting.waitFor(condition, what, MAX_PROPAGATION_MILLISECONDS);
 }
--- a/packages/proxy/test/parts_test.ts
+++ b/packages/proxy/test/parts_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of parts of the request path on their own: cut paths, stories and headers.
+ * Tests of single parts of the request path: reachability, the list of metrics and request traces.
  */
 
 import * as assert from "node:assert/strict";
@@ -18,12 +18,12 @@
   return new kernel.PartLogger(kernel.createSilentLogger(), "test");
 }
 
-test.test("a target that was not reached comes back by a bare connection, not by a request", async () => {
+test.test("a target that could not be reached is restored by a test connection, not by a request", async () => {
   const server = net.createServer();
   const port = await kernelTesting.claimPort();
   const reachability = new proxy.Reachability(() => `127.0.0.1:${port}`, createSilentLogger());
   try {
-    reachability.noteUnreachable(TARGET);
+    reachability.recordUnreachable(TARGET);
     await kernel.sleep(700);
     assert.equal(reachability.isReachable(TARGET), false);
     await new Promise<void>((resolve) => server.listen(port, "127.0.0.1", resolve));
@@ -54,27 +54,27 @@
   });
 });
 
-test.test("connections are given up against what they usually take", () => {
+test.test("connection attempts time out relative to the usual connect time", () => {
   const reachability = new proxy.Reachability(() => undefined, createSilentLogger());
   const unknown = reachability.getConnectTimeout(TARGET);
   for (let connection = 0; connection < 20; connection++) {
-    reachability.noteConnected(TARGET, 3);
+    reachability.recordConnected(TARGET, 3);
   }
   assert.ok(reachability.getConnectTimeout(TARGET) < unknown);
   assert.ok(reachability.getConnectTimeout(TARGET) >= 80);
 });
 
-test.test("a flood of failures writes a bounded number of whole stories and counts the rest", async () => {
+test.test("a flood of failures writes a bounded number of complete traces and counts the rest", async () => {
   const lines: string[] = [];
   const logger = createSilentLogger();
   logger.write = (message, fields) => lines.push(`${message.text} ${JSON.stringify(fields)}`);
   const log = new proxy.RequestLog(logger);
   for (let request = 0; request < 1_000; request++) {
-    log.write(new proxy.RequestStory(`request-${request}`), "timeout", 504);
+    log.write(new proxy.RequestTrace(`request-${request}`), "timeout", 504);
   }
   const written = lines.length;
   assert.ok(written > 10 && written < 100, `${written} lines`);
   await kernel.sleep(1_050);
-  log.write(new proxy.RequestStory("last"), "timeout", 504);
+  log.write(new proxy.RequestTrace("last"), "timeout", 504);
   assert.match(lines[written] ?? "", new RegExp(`"count":${1_000 - written}`));
 });
--- a/packages/proxy/test/request_path_test.ts
+++ b/packages/proxy/test/request_path_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the request path: one VM, real connections, targets that fail in every way.
+ * Tests of the request path: one VM, real connections, and targets that fail in various ways.
  */
 
 import * as assert from "node:assert/strict";
@@ -13,7 +13,7 @@
 
 function answerError(request: http.IncomingMessage, response: http.ServerResponse): void {
   response.writeHead(500, harness.createAnswerHeaders(request));
-  response.end("sick");
+  response.end("failing");
 }
 
 function setAll(vm: harness.TestVm, behaviour: harness.Behaviour): void {
@@ -21,12 +21,12 @@
 }
 
 test.describe("request path", { concurrency: 4 }, () => {
-  test.test("a request is passed on whole, without the key and for its workspace", async () => {
+  test.test("a request is forwarded completely, without the key and with its workspace", async () => {
     await harness.withVm(1, async (vm) => {
       const bodies: string[] = [];
       setAll(vm, (request, response, body) => {
         bodies.push(body);
-        harness.answerWell(request, response);
+        harness.answerSuccess(request, response);
       });
       const answer = await vm.call({
         path: "/bookings/7?corner=3",
@@ -45,7 +45,7 @@
     });
   });
 
-  test.test("unknown routes and keys are told apart", async () => {
+  test.test("unknown routes and unknown keys are distinguished", async () => {
     await harness.withVm(1, async (vm) => {
       assert.equal((await vm.call({ path: "/elsewhere/1" })).status, 404);
       assert.equal((await vm.call({ headers: { Authorization: "Bearer wrong" } })).status, 401);
@@ -68,7 +68,7 @@
       let calls = 0;
       setAll(vm, (request, response) => {
         calls++;
-        (calls === 1 ? answerError : harness.answerWell)(request, response);
+        (calls === 1 ? answerError : harness.answerSuccess)(request, response);
       });
       assert.equal((await vm.call({ path: "/reads/1", method: "GET" })).status, 200);
       assert.equal(calls, 2);
@@ -79,12 +79,12 @@
     });
   });
 
-  test.test("what a target has not run goes elsewhere whatever its kind", async () => {
+  test.test("a request that its target has not run is retried, even if it is not idempotent", async () => {
     await harness.withVm(2, async (vm) => {
       let sheds = 0;
       setAll(vm, (request, response) => {
         if (sheds++ > 0) {
-          harness.answerWell(request, response);
+          harness.answerSuccess(request, response);
           return;
         }
         response.writeHead(503, { ...harness.createAnswerHeaders(request), [PROFILE.notRun]: "1" });
@@ -95,7 +95,7 @@
     });
   });
 
-  test.test("a request that no target has run is refused as not run, with a time to return", async () => {
+  test.test("a request that no target has run is refused as not run, with a Retry-After header", async () => {
     await harness.withVm(2, async (vm) => {
       setAll(vm, (request, response) => {
         response.writeHead(421, harness.createAnswerHeaders(request));
@@ -107,7 +107,7 @@
     });
   });
 
-  test.test("an answer without a length is not framed as whole", async () => {
+  test.test("a response without a length is not framed as complete", async () => {
     await harness.withVm(1, async (vm) => {
       setAll(vm, (request) => {
         request.socket.end(
@@ -122,7 +122,7 @@
     });
   });
 
-  test.test("a cut, foreign or unsigned answer does not reach the caller", async () => {
+  test.test("a truncated, mismatched or unsigned response does not reach the caller", async () => {
     await harness.withVm(1, async (vm) => {
       const head = (id: string) =>
         `HTTP/1.1 200 OK\r\n${PROFILE.requestId}: ${id}\r\n${PROFILE.signature}: s\r\n`;
@@ -144,10 +144,10 @@
     });
   });
 
-  test.test("bytes behind an answer belong to no later request", async () => {
+  test.test("bytes that follow a response are not used for a later request", async () => {
     await harness.withVm(1, async (vm) => {
       setAll(vm, (request, response) => {
-        harness.answerWell(request, response);
+        harness.answerSuccess(request, response);
         const { socket } = request;
         setTimeout(() =>
           socket.write(
@@ -163,7 +163,7 @@
     });
   });
 
-  test.test("a request that lasts too long has its final answer at the route's time-out", async () => {
+  test.test("a request that takes too long gets its final response at the route's timeout", async () => {
     await harness.withVm(1, async (vm) => {
       setAll(vm, () => undefined);
       const startedAt = performance.now();
@@ -174,7 +174,7 @@
     });
   });
 
-  test.test("work for a caller that has left is cancelled at the target", async () => {
+  test.test("a call is cancelled at the target when its caller has disconnected", async () => {
     await harness.withVm(1, async (vm) => {
       let isCancelled = false;
       setAll(vm, (request) => {
@@ -185,11 +185,11 @@
       await harness.waitFor(() => vm.countRequests() === 1, "the request arrives");
       caller.abort();
       await call;
-      await harness.waitFor(() => isCancelled, "the target sees the end");
+      await harness.waitFor(() => isCancelled, "the target sees the disconnect");
     });
   });
 
-  test.test("a withdrawn key stops working and a drained target gets nothing", async () => {
+  test.test("a withdrawn key stops working and a drained target gets no requests", async () => {
     await harness.withVm(2, async (vm) => {
       const [first, second] = vm.targets;
       assert.ok(first !== undefined && second !== undefined);
@@ -229,7 +229,7 @@
       const lengths: number[] = [];
       setAll(vm, (request, response, body) => {
         lengths.push(body.length);
-        harness.answerWell(request, response);
+        harness.answerSuccess(request, response);
       });
       const agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
       const send = (bytes: number) =>
@@ -241,11 +241,11 @@
     }, harness.createDeclarations(1, { limits }));
   });
 
-  test.test("a planned stop cuts no request, also one taken late on a kept connection", async () => {
+  test.test("a planned stop cuts off no request, not even a late one on a kept connection", async () => {
     const vm = new harness.TestVm();
     await vm.start(1);
     setAll(vm, (request, response) => {
-      setTimeout(() => harness.answerWell(request, response), 400);
+      setTimeout(() => harness.answerSuccess(request, response), 400);
     });
     const agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
     let isStopped = false;
@@ -265,7 +265,7 @@
     assert.ok(statuses.every((status) => status === 200), statuses.join(" "));
   });
 
-  test.test("a slow body of a known length is passed on once", async () => {
+  test.test("a body of a known length is forwarded once", async () => {
     await harness.withVm(1, async (vm) => {
       const answer = await vm.call({ body: "y".repeat(90_000) });
       assert.equal(answer.status, 200);
--- a/packages/proxy/test/request_trace_test.ts
+++ b/packages/proxy/test/request_trace_test.ts
@@ -1,5 +1,5 @@
 /**
- * Known causes of failures, found again from the log alone.
+ * Tests that the causes of failed requests can be found from the log alone.
  */
 
 import * as assert from "node:assert/strict";
@@ -12,8 +12,8 @@
   return vm.call({ ...request, headers: { [harness.PROFILE.requestId]: id, ...request.headers } });
 }
 
-test.describe("stories", () => {
-  test.it("of a request over its workspace's rate name the rate, the level and the share", async () => {
+test.describe("request traces", () => {
+  test.it("of a request over its workspace's rate contain the rate, the level and the share", async () => {
     const declared = harness.createDeclarations(1, {
       workspaces: [{
         id: model.createWorkspaceId("city"),
@@ -30,7 +30,7 @@
         const answer = await callWithId(vm, `rate-${request}`);
         refused = answer.status === 429 ? `rate-${request}` : undefined;
       }
-      const { line, steps } = vm.getStory(refused);
+      const { line, steps } = vm.getTrace(refused);
       assert.equal(line.outcome, "over_rate");
       assert.equal(steps.length, 1);
       const [step] = steps;
@@ -42,13 +42,13 @@
     }, declared);
   });
 
-  test.it("of a request with an unknown key or route name the version that did not know it", async () => {
+  test.it("of a request with an unknown key or route contain the version in force", async () => {
     await harness.withVm(1, async (vm) => {
       const answer = await callWithId(vm, "key", { headers: { Authorization: "Bearer other" } });
       assert.equal(answer.status, 401);
       assert.equal((await callWithId(vm, "route", { path: "/nowhere/1" })).status, 404);
       for (const [id, finding] of [["key", "unknown_key"], ["route", "unknown_route"]] as const) {
-        const { line, steps } = vm.getStory(id);
+        const { line, steps } = vm.getTrace(id);
         assert.equal(line.outcome, finding);
         assert.equal(steps[0]?.["finding"], finding);
         assert.equal(steps[0]?.["version"], 1);
@@ -58,25 +58,27 @@
     });
   });
 
-  test.it("of a request that met a sick target name the target and what was believed", async () => {
+  test.it("of a request to a failing target contain the target and its estimated health", async () => {
     await harness.withVm(1, async (vm) => {
       const [target] = vm.targets;
       assert.ok(target !== undefined);
       target.behaviour = (request, response) =>
         response.writeHead(500, harness.createAnswerHeaders(request)).end();
-      assert.equal((await callWithId(vm, "sick")).status, 500);
-      const { line, steps } = vm.getStory("sick");
+      assert.equal((await callWithId(vm, "failing")).status, 500);
+      const { line, steps } = vm.getTrace("failing");
       assert.equal(line.outcome, "answered");
       assert.deepEqual(steps.map((step) => step["step"]), ["accepted", "placed", "answered"]);
       assert.equal(steps[1]?.["target"], "target-0");
       assert.equal(typeof steps[1]?.["sickness"], "number");
       assert.equal(steps[2]?.["status"], 500);
-      const doubts = vm.log.filter(({ code }) => code === kernel.LogMessages.targetDoubted.code);
-      assert.equal(doubts.length, 1, "what the VM believes from then on is there too");
+      const suspicions = vm.log.filter(({ code }) =>
+        code === kernel.LogMessages.targetDoubted.code
+      );
+      assert.equal(suspicions.length, 1, "the change of the estimate is logged too");
     });
   });
 
-  test.it("of a request whose caller left while it waited say so", async () => {
+  test.it("of a request whose caller disconnected while it waited contain that outcome", async () => {
     await harness.withVm(1, async (vm) => {
       const [target] = vm.targets;
       assert.ok(target !== undefined);
@@ -86,8 +88,8 @@
       await harness.waitFor(() => vm.countRequests() === 1, "the request arrives");
       leaving.abort();
       await answer;
-      await harness.waitFor(() => vm.log.some(({ request }) => request === "left"), "its story");
-      assert.equal(vm.getStory("left").line.outcome, "caller_left");
+      await harness.waitFor(() => vm.log.some(({ request }) => request === "left"), "its trace");
+      assert.equal(vm.getTrace("left").line.outcome, "caller_left");
     });
   });
 });
--- a/packages/proxy/test/start_gate_test.ts
+++ b/packages/proxy/test/start_gate_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of requests that reach a VM before it knows what it serves.
+ * Tests of requests that arrive before a VM has received its declarations and targets.
  */
 
 import * as assert from "node:assert/strict";
@@ -28,8 +28,8 @@
   });
 }
 
-/** Sends a request, and has the declarations come once the VM has taken it. */
-async function callBeforeNews(vm: harness.TestVm, release: () => void): Promise<number> {
+/** Sends a request, and releases the declarations once the VM has accepted its head. */
+async function callBeforeDeclarations(vm: harness.TestVm, release: () => void): Promise<number> {
   const outgoing = http.request({
     agent: false,
     host: "127.0.0.1",
@@ -77,7 +77,7 @@
     }
   });
 
-  test.test("a VM that learns nothing holds nobody for longer than stated", async () => {
+  test.test("a VM that receives nothing holds no request beyond the maximum hold time", async () => {
     const clock = new testing.TestClock();
     const gate = new proxy.StartGate(
       new declarations.DeclarationStore(),
@@ -86,7 +86,7 @@
     try {
       gate.start();
       const waiting = gate.wait();
-      await clock.advance(proxy.HOLD_MILLISECONDS - 1);
+      await clock.advance(proxy.MAX_HOLD_MILLISECONDS - 1);
       assert.equal(gate.isOpen, false);
       await clock.advance(1);
       await waiting;
@@ -97,7 +97,7 @@
     }
   });
 
-  test.test("a request that comes before the declarations is served once they are there", async () => {
+  test.test("a request that arrives before the declarations is served once they have arrived", async () => {
     const store = new harness.MemoryStore();
     const readStore = store.read.bind(store);
     let release = () => {};
@@ -107,9 +107,9 @@
     try {
       const started = vm.start(1);
       await waitForListener(vm);
-      const [status] = await Promise.all([callBeforeNews(vm, release), started]);
+      const [status] = await Promise.all([callBeforeDeclarations(vm, release), started]);
       assert.equal(status, 200);
-      assert.equal(vm.getStory("early").steps[0]?.["step"], "held_at_start");
+      assert.equal(vm.getTrace("early").steps[0]?.["step"], "held_at_start");
     } finally {
       release();
       await vm.stop();
