--- a/packages/placement/src/mod.ts
+++ b/packages/placement/src/mod.ts
@@ -1,9 +1,10 @@
 /**
- * Decisions over plain values: belief in targets, choice of a target, waiting and shared budgets.
+ * Placement decisions over plain values: health estimates of targets, choice of a target, request
+ * queues and shared token buckets.
  */
 
-export * from "./belief.ts";
 export * from "./chooser.ts";
+export * from "./health_estimate.ts";
+export * from "./processing_times.ts";
+export * from "./request_queue.ts";
 export * from "./shared_bucket.ts";
-export * from "./waiting_line.ts";
-export * from "./work_times.ts";
