--- a/packages/targets/src/adaptive_pool.ts
+++ b/packages/targets/src/adaptive_pool.ts
@@ -12,7 +12,7 @@
 import * as options from "./pool_options.ts";
 import * as probers from "./prober.ts";
 import * as random from "./random.ts";
-import * as selfSuspicion from "./self_suspicion.ts";
+import * as selfSuspicion from "./local_fault_detector.ts";
 import * as servicePools from "./service_pool.ts";
 import * as strategies from "./power_of_two_strategy.ts";
 import * as subsets from "./target_subset.ts";
--- a/packages/targets/src/call_evidence.ts
+++ b/packages/targets/src/call_evidence.ts
@@ -8,7 +8,7 @@
 import type * as model from "@hemlockwalk/model";
 import type * as exclusions from "./exclusion.ts";
 import * as intervals from "./evidence_intervals.ts";
-import * as judges from "./service_judge.ts";
+import * as judges from "./service_evaluator.ts";
 import * as latencies from "./latency_buckets.ts";
 import type * as messages from "./messages.ts";
 import * as reporters from "./evidence_reporter.ts";
--- a/packages/targets/src/coordinator.ts
+++ b/packages/targets/src/coordinator.ts
@@ -8,7 +8,7 @@
 import * as fleet from "@hemlockwalk/fleet";
 import type * as model from "@hemlockwalk/model";
 import * as intervals from "./evidence_intervals.ts";
-import * as judges from "./service_judge.ts";
+import * as judges from "./service_evaluator.ts";
 import * as messages from "./messages.ts";
 import type * as types from "./types.ts";
 
--- a/packages/targets/src/exclusion.ts
+++ b/packages/targets/src/exclusion.ts
@@ -5,7 +5,7 @@
 
 import type * as model from "@hemlockwalk/model";
 import * as floors from "./floor.ts";
-import * as judges from "./service_judge.ts";
+import * as judges from "./service_evaluator.ts";
 import type * as types from "./types.ts";
 
 /** A declared target with its short identifier. */
--- a/packages/targets/src/pool_metrics.ts
+++ b/packages/targets/src/pool_metrics.ts
@@ -5,7 +5,7 @@
 import type * as kernel from "@hemlockwalk/kernel";
 import type * as model from "@hemlockwalk/model";
 import type * as coordinators from "./coordinator.ts";
-import type * as judges from "./service_judge.ts";
+import type * as judges from "./service_evaluator.ts";
 import type * as evidences from "./service_evidence.ts";
 import type * as types from "./types.ts";
 
--- a/packages/targets/src/slot_book.ts
+++ b/packages/targets/src/slot_admission.ts
@@ -4,7 +4,7 @@
 
 import type * as fleet from "@hemlockwalk/fleet";
 import type * as model from "@hemlockwalk/model";
-import * as slotShares from "./slot_shares.ts";
+import * as slotShares from "./slot_allocation.ts";
 import type * as types from "./types.ts";
 
 /** A slot of another VM may be borrowed while the target's reported load is below this share. */
--- a/packages/targets/test/choice_test.ts
+++ b/packages/targets/test/choice_test.ts
@@ -8,7 +8,7 @@
 import * as kernel from "@hemlockwalk/kernel";
 import * as kernelTesting from "@hemlockwalk/kernel/testing";
 import * as model from "@hemlockwalk/model";
-import * as slotShares from "../src/slot_shares.ts";
+import * as slotShares from "../src/slot_allocation.ts";
 import * as subsets from "../src/target_subset.ts";
 import * as targets from "../src/mod.ts";
 import * as fixtures from "./fixtures.ts";
--- a/packages/targets/test/service_judge_test.ts
+++ b/packages/targets/test/service_evaluator_test.ts
@@ -6,7 +6,7 @@
 import * as test from "node:test";
 import * as fastCheck from "fast-check";
 import type * as model from "@hemlockwalk/model";
-import * as judges from "../src/service_judge.ts";
+import * as judges from "../src/service_evaluator.ts";
 import * as latencies from "../src/latency_buckets.ts";
 import * as messages from "../src/messages.ts";
 import type * as evidences from "../src/service_evidence.ts";
--- a/packages/targets/test/verdict_board_test.ts
+++ b/packages/targets/test/verdict_store_test.ts
@@ -6,7 +6,7 @@
 import * as test from "node:test";
 import * as fastCheck from "fast-check";
 import type * as model from "@hemlockwalk/model";
-import * as boards from "../src/verdict_board.ts";
+import * as boards from "../src/verdict_store.ts";
 import * as messages from "../src/messages.ts";
 import * as fixtures from "./fixtures.ts";
 
