--- a/packages/targets/bench/cost.ts
+++ b/packages/targets/bench/cost.ts
@@ -1,5 +1,6 @@
 /**
- * Measures messages, bytes and processor time that evidence costs in calm, at several sizes of the fleet.
+ * Measures the messages, bytes and processor time of detection without faults, for several fleet
+ * sizes.
  *
  * Usage: node packages/targets/dist/bench/cost.js [seed]
  */
@@ -9,9 +10,9 @@
 
 const WARM_UP_MILLISECONDS = 20_000;
 const MEASURED_MILLISECONDS = 30_000;
-const MILLISECONDS_IN_SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-const USER = {
+const PERMIT_DESK = {
   targets: 14,
   dataCentres: 4,
   slots: 6,
@@ -21,14 +22,21 @@
   floor: 0.7,
 };
 
-/** One of 200 services before 750 VMs: 50 targets, 425 calls a second. */
-const LARGEST = { ...USER, name: "largest", targets: 50, dataCentres: 8, vms: 750, rate: 8.5 };
+/** One of 200 services of a fleet of 750 VMs: 50 targets, 425 calls per second. */
+const LARGEST = {
+  ...PERMIT_DESK,
+  name: "largest",
+  targets: 50,
+  dataCentres: 8,
+  vms: 750,
+  rate: 8.5,
+};
 
 interface Cost {
-  readonly framesForSecond: number;
-  readonly bytesForSecond: number;
-  /** Processor time of the whole process, in milliseconds for a second of the fleet's time. */
-  readonly processorForSecond: number;
+  readonly framesPerSecond: number;
+  readonly bytesPerSecond: number;
+  /** Processor time of the whole process, in milliseconds per second of virtual time. */
+  readonly processorPerSecond: number;
 }
 
 function measure(
@@ -43,17 +51,17 @@
   const before = process.cpuUsage();
   simulation.time.runUntil(simulation.time.now + MEASURED_MILLISECONDS);
   const used = process.cpuUsage(before);
-  const seconds = MEASURED_MILLISECONDS / MILLISECONDS_IN_SECOND;
+  const seconds = MEASURED_MILLISECONDS / MILLISECONDS_PER_SECOND;
   return {
-    framesForSecond: simulation.hub.frames / seconds,
-    bytesForSecond: simulation.hub.bytes / seconds,
-    processorForSecond: (used.user + used.system) / MILLISECONDS_IN_SECOND / seconds,
+    framesPerSecond: simulation.hub.frames / seconds,
+    bytesPerSecond: simulation.hub.bytes / seconds,
+    processorPerSecond: (used.user + used.system) / MILLISECONDS_PER_SECOND / seconds,
   };
 }
 
 const seed = Number(process.argv[2] ?? "1");
 const sizes = [
-  ...[5, 10, 20, 40].map((vms) => ({ ...USER, name: `${vms} VMs`, vms })),
+  ...[5, 10, 20, 40].map((vms) => ({ ...PERMIT_DESK, name: `${vms} VMs`, vms })),
   LARGEST,
 ];
 process.stdout.write(
@@ -66,13 +74,13 @@
   const baseline = measure(size, "least_loaded", seed);
   const cells = [
     size.name,
-    own.framesForSecond.toFixed(1),
-    own.bytesForSecond.toFixed(0),
-    (own.bytesForSecond / own.framesForSecond).toFixed(0),
-    (own.framesForSecond / size.vms).toFixed(2),
-    (own.bytesForSecond / size.vms).toFixed(0),
-    own.processorForSecond.toFixed(2),
-    baseline.processorForSecond.toFixed(2),
+    own.framesPerSecond.toFixed(1),
+    own.bytesPerSecond.toFixed(0),
+    (own.bytesPerSecond / own.framesPerSecond).toFixed(0),
+    (own.framesPerSecond / size.vms).toFixed(2),
+    (own.bytesPerSecond / size.vms).toFixed(0),
+    own.processorPerSecond.toFixed(2),
+    baseline.processorPerSecond.toFixed(2),
   ];
   process.stdout.write(`| ${cells.join(" | ")} |\n`);
 }
--- a/packages/targets/bench/detection.ts
+++ b/packages/targets/bench/detection.ts
@@ -1,5 +1,5 @@
 /**
- * Measures how long the detection of each fault class takes, and how often healthy targets are ejected.
+ * Measures the time to detection of each kind of fault, and how often healthy targets are ejected.
  *
  * Usage: node packages/targets/dist/bench/detection.js [seeds] [first seed] [scenario] [size]
  *
@@ -20,7 +20,7 @@
 /** The baselines run with the first seeds only. */
 const BASELINE_SEEDS = 5;
 
-/** Share of a target's calls whose VMs must have it out of use. */
+/** A fault is detected when the VMs that made this share of the target's calls no longer use it. */
 const DETECTED_SHARE = 0.95;
 
 const PITCHWISE = {
@@ -41,14 +41,14 @@
 };
 const RATES = [5, 20];
 
-/** One of 200 services before 750 VMs, at 85,000 calls a second over all. */
+/** One of 200 services of a fleet of 750 VMs, with 85,000 calls per second in total. */
 const LARGEST = { ...PITCHWISE, name: "largest", targets: 50, dataCentres: 8, vms: 750, rate: 8.5 };
 
 interface RunResult {
   readonly detectedMilliseconds: number | undefined;
-  /** Healthy targets that some VM did not use at some time. */
+  /** Healthy targets that at least one VM stopped using at some time. */
   readonly falseTargets: number;
-  /** Of them, those that at least half of all VMs did not use. */
+  /** Those of them that at least half of all VMs did not use at the same time. */
   readonly falseEjections: number;
   readonly badShare: number;
   readonly floorBroken: boolean;
@@ -76,7 +76,7 @@
   const simulation = new simulations.Simulation(size, kind, seed, targets.ALL_GUARDS);
   simulation.time.runUntil(simulation.time.now + WARM_UP_MILLISECONDS);
   const startedAt = simulation.time.now;
-  const sick = scenario.begin(simulation, startedAt);
+  const failing = scenario.begin(simulation, startedAt);
   simulation.counts = simulations.createCounts();
   let detectedMilliseconds: number | undefined;
   let floorBroken = false;
@@ -88,27 +88,27 @@
       continue;
     }
     const outCounts = new Map<model.TargetId, number>();
-    let sickCalls = 0;
-    let sickCallsOut = 0;
+    let failingTargetCalls = 0;
+    let failingTargetCallsOut = 0;
     for (const vm of simulation.vms) {
       const out = simulation.listOut(vm, scenario.route ?? fixtures.ROUTE);
       floorBroken ||= vm.subset.length - out.size < vm.subset.length * size.floor - 1e-9;
       for (const id of out) {
         outCounts.set(id, (outCounts.get(id) ?? 0) + 1);
       }
-      const judged = scenario.firstDataCentreOnly !== true ||
+      const isAffected = scenario.firstDataCentreOnly !== true ||
         vm.identity.dataCentre === fixtures.getDataCentre(0);
-      for (const id of judged ? sick : []) {
+      for (const id of isAffected ? failing : []) {
         const calls = vm.callsByTarget.get(id) ?? 0;
-        sickCalls += calls;
-        sickCallsOut += out.has(id) ? calls : 0;
+        failingTargetCalls += calls;
+        failingTargetCallsOut += out.has(id) ? calls : 0;
       }
     }
-    if (sickCalls > 0 && sickCallsOut >= sickCalls * DETECTED_SHARE) {
+    if (failingTargetCalls > 0 && failingTargetCallsOut >= failingTargetCalls * DETECTED_SHARE) {
       detectedMilliseconds ??= simulation.time.now - startedAt;
     }
     for (const [id, count] of outCounts) {
-      if (!sick.includes(id)) {
+      if (!failing.includes(id)) {
         falseAnywhere.add(id);
         if (count >= simulation.vms.length / 2) {
           falseWidely.add(id);
--- a/packages/targets/bench/fake_target.ts
+++ b/packages/targets/bench/fake_target.ts
@@ -1,5 +1,5 @@
 /**
- * A target as far as calls show it: slots, a short queue, service times, and faults.
+ * A simulated target with slots, a short queue, service times and faults.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -9,13 +9,13 @@
 const REFUSAL_MILLISECONDS = 1;
 const ERROR_MILLISECONDS = 5;
 const SHED_MILLISECONDS = 1;
-const QUEUE_FOR_EACH_SLOT = 2;
-const DEVIATION = 0.5;
+const QUEUE_LENGTH_PER_SLOT = 2;
+const SERVICE_TIME_DEVIATION = 0.5;
 
-/** Share of a healthy target's answers that are errors. */
+/** Share of a healthy target's responses that are errors. */
 const BACKGROUND_ERROR_SHARE = 0.002;
 
-/** What a call meets at a target. */
+/** A fault of a target. */
 export interface Fault {
   readonly kind: "refuses" | "hangs" | "slow" | "errors" | "truncates" | "resets";
   /** Factor on the service time. */
@@ -24,7 +24,7 @@
   readonly share?: number;
 }
 
-/** A call on its way. */
+/** A call to a simulated target. */
 export interface FakeCall {
   readonly dataCentre: model.DataCentreId;
   readonly vm: model.VmId;
@@ -35,10 +35,10 @@
   readonly end: (outcome: targets.CallOutcome) => void;
 }
 
-/** Tells what a call meets; undefined for nothing. */
+/** Returns the fault that affects a call; undefined if there is none. */
 export type FaultRule = (call: FakeCall, now: number) => Fault | undefined;
 
-/** One target. */
+/** One simulated target. */
 export class FakeTarget {
   readonly #time: virtualTime.VirtualTime;
   readonly #random: targets.RandomSource;
@@ -60,8 +60,8 @@
     this.#slots = slots;
   }
 
-  /** Takes a call. */
-  take(call: FakeCall): void {
+  /** Handles a call. */
+  handle(call: FakeCall): void {
     const startedAt = this.#time.now;
     this.calls++;
     const fault = this.rule(call, startedAt);
@@ -87,14 +87,15 @@
           break;
       }
     }
-    if (this.#running >= this.#slots && this.#queue.length >= this.#slots * QUEUE_FOR_EACH_SLOT) {
+    if (this.#running >= this.#slots && this.#queue.length >= this.#slots * QUEUE_LENGTH_PER_SLOT) {
       return finish("shed", SHED_MILLISECONDS + call.networkMilliseconds);
     }
-    const work = call.medianMilliseconds * Math.exp(DEVIATION * this.#drawNormal());
-    const slower = failing && fault.kind === "slow" ? (fault.factor ?? 1) : 1;
+    const serviceMilliseconds = call.medianMilliseconds *
+      Math.exp(SERVICE_TIME_DEVIATION * this.#drawNormal());
+    const slowdown = failing && fault.kind === "slow" ? (fault.factor ?? 1) : 1;
     const run = () => {
       this.#running++;
-      this.#time.schedule(this.#time.now + work * slower, () => {
+      this.#time.schedule(this.#time.now + serviceMilliseconds * slowdown, () => {
         this.#running--;
         this.#queue.shift()?.();
         const background = this.#random.next() < BACKGROUND_ERROR_SHARE;
--- a/packages/targets/bench/scenarios.ts
+++ b/packages/targets/bench/scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * Fault classes, and situations that are no faults of targets.
+ * Scenarios with faults of targets, and scenarios without a fault of a target.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -11,20 +11,20 @@
 /** What happens in a run. */
 export interface Scenario {
   readonly name: string;
-  /** Longest time to detection that is aimed for; absent where nothing is to be detected. */
+  /** Goal for the time to detection; absent if there is nothing to detect. */
   readonly goalMilliseconds?: number;
-  /** How long the situation lasts, where it differs from the usual. */
+  /** Duration of the scenario, if it differs from the default. */
   readonly lengthMilliseconds?: number;
-  /** Route for which the sick target should be out. */
+  /** Route for which the failing target should be out of use. */
   readonly route?: model.RouteId;
-  /** Whether only the VMs of the first data centre should avoid the target. */
+  /** Whether the target should be out of use for the VMs of the first data centre only. */
   readonly firstDataCentreOnly?: boolean;
-  /** Begins the fault; returns the targets that are truly sick. */
+  /** Starts the fault, and returns the targets that are actually failing. */
   readonly begin: (simulation: simulations.Simulation, startedAt: number) => model.TargetId[];
 }
 
-/** The target that is sick in scenarios with one sick target. */
-const SICK = fixtures.getTargetId(0);
+/** The failing target in scenarios with only one. */
+const FAILING_TARGET = fixtures.getTargetId(0);
 
 function setRule(
   simulation: simulations.Simulation,
@@ -44,8 +44,8 @@
     name,
     goalMilliseconds,
     begin: (simulation, startedAt) => {
-      setRule(simulation, SICK, rule(startedAt));
-      return [SICK];
+      setRule(simulation, FAILING_TARGET, rule(startedAt));
+      return [FAILING_TARGET];
     },
     ...extra,
   };
@@ -54,8 +54,8 @@
 function createFlapping(seconds: number): Scenario {
   const half = seconds * 500;
   return createFault(`flapping every ${seconds} s`, 5_000, (startedAt) => (_call, now) => {
-    const sick = Math.floor((now - startedAt) / half) % 2 === 0;
-    return sick ? { kind: "refuses" } : undefined;
+    const failing = Math.floor((now - startedAt) / half) % 2 === 0;
+    return failing ? { kind: "refuses" } : undefined;
   });
 }
 
@@ -78,7 +78,7 @@
   return kernel.getDefined(simulation.vms[index], "The fleet has as many VMs.");
 }
 
-/** Calls are many under overload, so it is shorter. */
+/** The overload scenario is shorter, since it simulates many more calls. */
 const OVERLOAD_MILLISECONDS = 8_000;
 const HARD_GOAL_MILLISECONDS = 2_000;
 const GRAY_GOAL_MILLISECONDS = 5_000;
@@ -106,7 +106,7 @@
   createFlapping(10),
   createFlapping(60),
   createFault(
-    "sick towards one data centre",
+    "failing for one data centre",
     GRAY_GOAL_MILLISECONDS,
     () => (call) => call.dataCentre === fixtures.getDataCentre(0) ? { kind: "refuses" } : undefined,
     { firstDataCentreOnly: true },
@@ -119,7 +119,7 @@
   }),
   createHealthy("overload", (simulation) => {
     const { slots, rate } = simulation.size;
-    // A slot runs about 38 requests a second, so this is half as much again as the targets can do.
+    // A slot runs about 38 requests per second, so this is 1.5 times the capacity of the targets.
     simulation.loadFactor = slots * 38 * 1.5 / rate;
   }, OVERLOAD_MILLISECONDS),
   createHealthy("one-way partition", (simulation) => {
--- a/packages/targets/bench/simulation.ts
+++ b/packages/targets/bench/simulation.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet of pools before fake targets in virtual time, with the network between the pools in memory.
+ * A fleet of pools with fake targets and an in-memory network, simulated in virtual time.
  */
 
 import * as configurationTesting from "@hemlockwalk/configuration/testing";
@@ -24,7 +24,7 @@
 const BROWSE_MILLISECONDS = 20;
 const BOOK_MILLISECONDS = 30;
 
-/** How large the fleet and its load are. */
+/** The size of the fleet and its load. */
 export interface Size {
   readonly name: string;
   readonly targets: number;
@@ -32,9 +32,9 @@
   readonly vms: number;
   readonly slots: number;
   readonly connections: number;
-  /** One way between data centres. */
+  /** One-way network latency between data centres. */
   readonly distanceMilliseconds: number;
-  /** Calls a second for each target, over the whole fleet. */
+  /** Calls per second for each target, from the whole fleet. */
   readonly rate: number;
   readonly floor: number;
 }
@@ -49,7 +49,7 @@
   readonly pauses: fixtures.FakePauses;
   readonly metrics: kernel.Metrics;
   readonly callsByTarget: Map<model.TargetId, number>;
-  /** Targets that it uses while none is sick. */
+  /** Targets that it uses while all are healthy. */
   readonly subset: readonly model.TargetId[];
   paused: boolean;
   resumeAt: number;
@@ -64,7 +64,7 @@
   refused: number;
 }
 
-/** A running fleet. */
+/** A simulated fleet. */
 export class Simulation {
   readonly size: Size;
   readonly time = new virtualTime.VirtualTime();
@@ -74,7 +74,7 @@
   readonly random: targets.RandomSource;
   readonly configuration: configurationTesting.SettableConfiguration;
   counts = createCounts();
-  /** Factor on the arrivals. */
+  /** Factor on the arrival rate. */
   loadFactor = 1;
   processorMilliseconds = 0;
 
@@ -106,7 +106,7 @@
     return out;
   }
 
-  /** Stops a VM for a while; what reaches it waits. */
+  /** Pauses a VM; messages and responses to it are delivered when it resumes. */
   pause(vm: SimulatedVm, milliseconds: number): void {
     vm.paused = true;
     vm.resumeAt = this.time.now + milliseconds;
@@ -208,7 +208,7 @@
     vm.callsByTarget.set(id, (vm.callsByTarget.get(id) ?? 0) + 1);
     const medianMilliseconds = browse ? BROWSE_MILLISECONDS : BOOK_MILLISECONDS;
     const near = dataCentre === vm.identity.dataCentre;
-    fake.take({
+    fake.handle({
       dataCentre: vm.identity.dataCentre,
       vm: vm.identity.vm,
       route,
@@ -241,7 +241,7 @@
   }
 }
 
-/** Creates counts of nothing. */
+/** Creates counts that are all zero. */
 export function createCounts(): CallCounts {
   return { calls: 0, bad: 0, shed: 0, waited: 0, refused: 0 };
 }
--- a/packages/targets/bench/virtual_time.ts
+++ b/packages/targets/bench/virtual_time.ts
@@ -1,5 +1,6 @@
 /**
- * Virtual time for measurements: replaces the runtime's monotonic clock and timers by a queue of events.
+ * Virtual time for simulations: replaces the runtime's monotonic clock and timers with an event
+ * queue.
  */
 
 interface Event {
@@ -14,7 +15,7 @@
   #now = 1_000;
   #order = 0;
 
-  /** Makes this the clock of the process. */
+  /** Replaces the process's monotonic clock and `setTimeout`. */
   install(): void {
     performance.now = () => this.#now;
     const schedule = (run: () => void, milliseconds = 0) => {
--- a/packages/targets/src/adaptive_pool.ts
+++ b/packages/targets/src/adaptive_pool.ts
@@ -1,5 +1,6 @@
 /**
- * The target pool of a VM: detection over all VMs, ejection above the floor, and choice by load.
+ * The target pool of a VM. It detects failing targets by the calls of all VMs, ejects them within
+ * the limits of the floor, and chooses targets by their load.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
@@ -12,7 +13,7 @@
 import * as options from "./pool_options.ts";
 import * as probers from "./prober.ts";
 import * as random from "./random.ts";
-import * as selfSuspicion from "./local_fault_detector.ts";
+import * as detectors from "./local_fault_detector.ts";
 import * as servicePools from "./service_pool.ts";
 import * as strategies from "./power_of_two_strategy.ts";
 import * as subsets from "./target_subset.ts";
@@ -27,7 +28,7 @@
   readonly metrics: kernel.Metrics;
   readonly logger: kernel.PartLogger;
   readonly pauses?: types.PauseSource | undefined;
-  /** Absent on a VM without peers, which then judges by its own calls alone. */
+  /** Absent on a VM without peers, which evaluates targets by its own calls alone. */
   readonly network?: fleet.PeerNetwork | undefined;
   readonly membership?: fleet.Membership | undefined;
 }
@@ -35,7 +36,7 @@
 /** Chooses targets for the requests of one VM. */
 export class AdaptivePool implements types.TargetPool {
   readonly #context: PoolContext;
-  readonly #shared: servicePools.ServicePoolContext;
+  readonly #poolContext: servicePools.ServicePoolContext;
   readonly #exchange: exchanges.EvidenceExchange | undefined;
   readonly #prober: probers.Prober | undefined;
   readonly #pools = new Map<model.ServiceId, servicePools.ServicePool>();
@@ -48,21 +49,21 @@
     const metrics = new poolMetrics.PoolMetrics(
       context.metrics,
       context.logger,
-      (service, target) => this.#nameTarget(service, target),
+      (service, target) => this.#getTargetName(service, target),
     );
     const guards = poolOptions.guards ?? options.ALL_GUARDS;
     const detection = poolOptions.detection ?? true;
     const seed = poolOptions.seed ?? fleet.hashText(context.self.incarnation);
     this.#exchange = detection ? this.#createExchange(metrics, guards) : undefined;
     this.#prober = poolOptions.probe && new probers.Prober(poolOptions.probe, metrics);
-    this.#shared = {
+    this.#poolContext = {
       self: context.self,
       strategy: poolOptions.strategy ??
         new strategies.PowerOfTwoStrategy(new random.RandomSource(seed)),
       metrics,
       guards,
       detection,
-      suspicion: new selfSuspicion.SelfSuspicion(guards.selfSuspicion),
+      localFaults: new detectors.LocalFaultDetector(guards.localFaultDetection),
       pauses: context.pauses,
       exchange: this.#exchange,
       onCapacity: (service) => this.#notify(service),
@@ -70,14 +71,14 @@
     context.metrics.createGauge(
       "hemlockwalk_targets_out",
       "Targets of all services that this VM does not use, leaving ones not counted.",
-      () => this.#countOut(),
+      () => this.#countOutOfUse(),
     );
     context.metrics.createGauge(
       "hemlockwalk_target_requests_running",
       "Requests of this VM that run on targets.",
       () => this.runningRequests,
     );
-    context.pauses?.onResume(() => this.#voidEvidence());
+    context.pauses?.onResume(() => this.#discardEvidence());
     context.configuration.onChange((change) => this.#update(change.current));
     const snapshot = context.configuration.getSnapshot();
     if (snapshot !== undefined) {
@@ -120,21 +121,21 @@
     return running;
   }
 
-  /** The targets that this VM uses now for requests of a route. */
+  /** The targets that this VM currently uses for requests of a route. */
   listInUse(service: model.ServiceId, route: model.RouteId): readonly model.Target[] {
     const now = kernel.getMonotonicMilliseconds();
     const selection = this.#pools.get(service)?.select(messages.createShortId(route), now);
     return selection?.inUse.map(({ target }) => target) ?? [];
   }
 
-  /** Does what is due: reports, judges, and sends probes. */
+  /** Performs the work that is due: sends reports, evaluates targets and sends probes. */
   tick(): void {
     const now = kernel.getMonotonicMilliseconds();
     this.#exchange?.tick(now);
     for (const pool of this.#pools.values()) {
       pool.tick(now);
-      for (const { target, shortId } of this.#prober ? pool.listProbed(now) : []) {
-        this.#prober?.offer(target, now, () => pool.noteProbeSuccess(shortId));
+      for (const { target, shortId } of this.#prober ? pool.listOutOfUse(now) : []) {
+        this.#prober?.probeIfAllowed(target, now, () => pool.recordProbeSuccess(shortId));
       }
     }
   }
@@ -160,7 +161,7 @@
       metrics,
       guards,
       onLoads: (service, loads) => {
-        this.#pools.get(service)?.noteLoads(loads, kernel.getMonotonicMilliseconds());
+        this.#pools.get(service)?.applyLoads(loads, kernel.getMonotonicMilliseconds());
       },
     });
   }
@@ -173,10 +174,10 @@
       }
     }
     for (const service of snapshot.listServices()) {
-      const known = this.#pools.get(service.id);
-      const pool = known ?? new servicePools.ServicePool(this.#shared, service, now);
+      const existing = this.#pools.get(service.id);
+      const pool = existing ?? new servicePools.ServicePool(this.#poolContext, service, now);
       this.#pools.set(service.id, pool);
-      pool.update(service, snapshot, known === undefined, now);
+      pool.update(service, snapshot, existing === undefined, now);
     }
     this.#exchange?.update(snapshot);
     this.#prober?.retain((target) => snapshot.findTarget(target) !== undefined);
@@ -185,24 +186,24 @@
     }
   }
 
-  #nameTarget(service: model.ServiceId, shortId: types.ShortId): string {
+  #getTargetName(service: model.ServiceId, shortId: types.ShortId): string {
     const declared = this.#context.configuration.getSnapshot()?.listTargets(service) ?? [];
     const target = declared.find(({ id }) => messages.createShortId(id) === shortId);
     return target?.id ?? "withdrawn";
   }
 
-  #voidEvidence(): void {
-    this.#exchange?.voidEvidence();
+  #discardEvidence(): void {
+    this.#exchange?.discardEvidence();
     for (const pool of this.#pools.values()) {
-      pool.voidEvidence();
+      pool.discardEvidence();
     }
   }
 
-  #countOut(): number {
+  #countOutOfUse(): number {
     const now = kernel.getMonotonicMilliseconds();
     let out = 0;
     for (const pool of this.#pools.values()) {
-      out += pool.listProbed(now).length;
+      out += pool.listOutOfUse(now).length;
     }
     return out;
   }
--- a/packages/targets/src/call_evidence.ts
+++ b/packages/targets/src/call_evidence.ts
@@ -1,6 +1,6 @@
 /**
- * What the running and ended calls of this VM to one service show: evidence for this VM's own judge, and
- * for the digests to the coordinator.
+ * Turns the running and completed calls of this VM to one service into evidence, both for this VM's
+ * own evaluator and for the digests to the coordinator.
  */
 
 import * as fleet from "@hemlockwalk/fleet";
@@ -8,7 +8,7 @@
 import type * as model from "@hemlockwalk/model";
 import type * as exclusions from "./exclusion.ts";
 import * as intervals from "./evidence_intervals.ts";
-import * as judges from "./service_evaluator.ts";
+import * as evaluators from "./service_evaluator.ts";
 import * as latencies from "./latency_buckets.ts";
 import type * as messages from "./messages.ts";
 import * as reporters from "./evidence_reporter.ts";
@@ -16,40 +16,40 @@
 import type * as states from "./target_state.ts";
 import type * as types from "./types.ts";
 
-/** Evidence, in nats, for this VM's own avoidance of a target. */
+/** Evidence, in nats, that this VM requires to eject a target by its own calls alone. */
 const LOCAL_NATS = 13;
 
-/** Other targets that must have been called since a target's first bad call, where there are any. */
-const LOCAL_LEAST_PEERS = 2;
+/** Other targets, if there are as many, that must have been called since the first bad call. */
+const LOCAL_MINIMUM_PEERS = 2;
 
-/** A running request counts as broken above this multiple of the latency that is slow once answered. */
+/** A running call counts as broken when it exceeds the slow-call latency this many times. */
 const STUCK_FACTOR = 3;
-const LEAST_STUCK_MILLISECONDS = 300;
+const MINIMUM_STUCK_MILLISECONDS = 300;
 
-/** Used while no latency of the service is known. */
-const UNKNOWN_STUCK_MILLISECONDS = 1_000;
+/** Used while there are too few latency samples of the service. */
+const DEFAULT_STUCK_MILLISECONDS = 1_000;
 
-/** A call that runs. */
+/** A running call. */
 export interface RunningCall {
   readonly declared: exclusions.DeclaredTarget;
   readonly state: states.TargetState;
   readonly route: types.ShortId;
   readonly startedAt: number;
   readonly trial: boolean;
-  /** Whether it was reported as broken while it ran. */
+  /** Whether it was reported as broken while it was still running. */
   stuck: boolean;
 }
 
-/** Observes the calls of one service. */
+/** Collects evidence from the calls of one service. */
 export class CallEvidence {
-  readonly judge: judges.ServiceJudge;
+  readonly evaluator: evaluators.ServiceEvaluator;
   readonly #context: servicePools.ServicePoolContext;
   readonly #service: model.ServiceId;
   readonly #reporter: reporters.EvidenceReporter;
   readonly #running = new Set<RunningCall>();
   readonly #takeLoads: (nowMilliseconds: number) => messages.TargetLoad[];
 
-  /** @param takeLoads Tells the loads of the targets since it was last called. */
+  /** @param takeLoads Returns the average loads of the targets since its last call. */
   constructor(
     context: servicePools.ServicePoolContext,
     service: model.ServiceId,
@@ -59,15 +59,15 @@
     this.#context = context;
     this.#service = service;
     this.#takeLoads = takeLoads;
-    this.judge = new judges.ServiceJudge(
+    this.evaluator = new evaluators.ServiceEvaluator(
       {
         nats: LOCAL_NATS,
-        getLeastSources: () => 1,
-        leastPeers: LOCAL_LEAST_PEERS,
-        separatesPaths: () => false,
-        keepFloor: context.guards.floor,
+        getMinimumSources: () => 1,
+        minimumPeers: LOCAL_MINIMUM_PEERS,
+        comparesDataCentres: () => false,
+        enforceFloor: context.guards.floor,
       },
-      context.metrics.createJudgeEvents("local", service),
+      context.metrics.createEvaluatorEvents("local", service),
     );
     // The first digests of the VMs are spread over the interval.
     const spread = fleet.hashText(`${context.self.vm} ${service}`) % 1_000 / 1_000;
@@ -80,7 +80,7 @@
     return this.#running.size;
   }
 
-  /** Observes a call from now on, until its lease is released. */
+  /** Starts to track a call, until its lease is released. */
   begin(call: RunningCall): types.TargetLease {
     call.state.begin(call.startedAt);
     this.#running.add(call);
@@ -92,32 +92,32 @@
     return { target: call.declared.target, release };
   }
 
-  /** Judges the targets by this VM's own calls. */
-  judgeTargets(nowMilliseconds: number): void {
-    this.#reportStuck(nowMilliseconds);
-    if (this.#context.suspicion.isSuspect(nowMilliseconds)) {
-      this.judge.returnAll("self_suspect");
+  /** Evaluates the targets by this VM's own calls. */
+  evaluateTargets(nowMilliseconds: number): void {
+    this.#reportStuckCalls(nowMilliseconds);
+    if (this.#context.localFaults.hasLocalFault(nowMilliseconds)) {
+      this.evaluator.returnAll("self_suspect");
     }
-    this.judge.evaluate(nowMilliseconds);
+    this.evaluator.evaluate(nowMilliseconds);
   }
 
-  /** Voids what was collected, such as after a pause. */
-  voidEvidence(): void {
-    this.#context.metrics.countVoid("pause", this.#reporter.voidPending());
-    this.judge.voidEvidence();
+  /** Discards the collected evidence, such as after a pause. */
+  discardEvidence(): void {
+    this.#context.metrics.countDiscarded("pause", this.#reporter.discardPending());
+    this.evaluator.discardEvidence();
   }
 
-  /** Takes note that a probe of a target out of use succeeded. */
-  noteProbeSuccess(target: types.ShortId): void {
-    this.judge.noteProbeSuccess(target);
+  /** Records a successful probe of a target that is out of use. */
+  recordProbeSuccess(target: types.ShortId): void {
+    this.evaluator.recordProbeSuccess(target);
     this.#reporter.addProbeSuccess(target);
   }
 
   /** Sends a digest when one is due. */
   sendDigest(nowMilliseconds: number): void {
-    const { exchange, suspicion } = this.#context;
+    const { exchange, localFaults } = this.#context;
     if (exchange === undefined) {
-      this.#reporter.voidPending();
+      this.#reporter.discardPending();
       return;
     }
     const { members } = exchange;
@@ -128,44 +128,44 @@
     );
     if (due) {
       exchange.send(this.#reporter.takeDigest(
-        suspicion.isSuspect(nowMilliseconds),
+        localFaults.hasLocalFault(nowMilliseconds),
         this.#takeLoads(nowMilliseconds),
-        exchange.getForeignVerdicts(this.#service, nowMilliseconds),
+        exchange.getHandoverVerdicts(this.#service, nowMilliseconds),
         nowMilliseconds,
       ));
     }
   }
 
-  /** Takes note of how a call ended. */
+  /** Records how a call ended. */
   #end(call: RunningCall, outcome: types.CallOutcome, nowMilliseconds: number): void {
     const { metrics, pauses, detection } = this.#context;
     call.state.end(nowMilliseconds);
     metrics.calls.inc({ result: outcome.result });
     if (outcome.result === "success") {
-      call.state.noteLatency(outcome.latencyMilliseconds, nowMilliseconds);
+      call.state.recordLatency(outcome.latencyMilliseconds, nowMilliseconds);
     }
     if (outcome.result === "shed") {
-      call.state.noteShed(nowMilliseconds);
+      call.state.recordShed(nowMilliseconds);
     }
     if (call.startedAt < (pauses?.lastResumeMilliseconds ?? Number.NEGATIVE_INFINITY)) {
-      metrics.countVoid("pause", 1);
+      metrics.countDiscarded("pause", 1);
     } else if (detection && !call.stuck && outcome.result !== "cancelled") {
       const result = classifyOutcome(outcome.result);
-      this.#note(call, result, outcome.latencyMilliseconds, nowMilliseconds);
+      this.#recordEvidence(call, result, outcome.latencyMilliseconds, nowMilliseconds);
     }
     this.#context.onCapacity(this.#service);
   }
 
-  /** Counts a call as evidence here, and adds it to the next digest. */
-  #note(
+  /** Adds a call to this VM's own evidence and to the next digest. */
+  #recordEvidence(
     call: RunningCall,
-    result: reporters.CallKind["result"],
+    result: reporters.CallKey["result"],
     latencyMilliseconds: number,
     nowMilliseconds: number,
   ): void {
-    const { self, suspicion, metrics } = this.#context;
+    const { self, localFaults, metrics } = this.#context;
     const { target, shortId } = call.declared;
-    const kind: reporters.CallKind = {
+    const key: reporters.CallKey = {
       target: shortId,
       route: call.route,
       result,
@@ -173,34 +173,36 @@
       trial: call.trial,
     };
     const reported = {
-      ...kind,
+      ...key,
       vm: self.vm,
       dataCentre: self.dataCentre,
       count: 1,
       near: target.dataCentre === self.dataCentre,
     };
     const bad = (result !== "answered" && result !== "shed") ||
-      this.judge.evidence.isSlow(reported);
-    suspicion.note(shortId, bad, nowMilliseconds);
-    // A VM that suspects itself gains nothing from its own bad calls. Others decide on its report.
-    if (bad && suspicion.isSuspect(nowMilliseconds)) {
-      metrics.countVoid("self_suspect", 1);
+      this.evaluator.evidence.isSlow(reported);
+    localFaults.recordCall(shortId, bad, nowMilliseconds);
+    // During a local fault, this VM's bad calls are not evidence against their targets. The
+    // coordinator still receives them, since it may find that other VMs are affected too.
+    if (bad && localFaults.hasLocalFault(nowMilliseconds)) {
+      metrics.countDiscarded("self_suspect", 1);
     } else {
-      this.judge.report(reported, call.trial, nowMilliseconds);
+      this.evaluator.report(reported, call.trial, nowMilliseconds);
     }
-    // Where this VM knows too little of the route to tell, the coordinator may know better.
-    const slowest = this.judge.evidence.getSlowestMilliseconds() ?? Infinity;
+    // This VM may have too few samples to classify the call. The coordinator may have more, so the
+    // call is reported without delay.
+    const slowest = this.evaluator.evidence.getSlowestMilliseconds() ?? Infinity;
     const urgent = bad || call.trial || latencyMilliseconds > slowest;
-    if (!this.#reporter.add(kind, urgent, nowMilliseconds)) {
-      metrics.countVoid("too_many_kinds", 1);
+    if (!this.#reporter.add(key, urgent, nowMilliseconds)) {
+      metrics.countDiscarded("too_many_kinds", 1);
     }
     if (urgent) {
       this.sendDigest(nowMilliseconds);
     }
   }
 
-  /** A call without an answer for long says as much as one that ended badly, and says it sooner. */
-  #reportStuck(nowMilliseconds: number): void {
+  /** Counts running calls without a response for a long time as broken, before they end. */
+  #reportStuckCalls(nowMilliseconds: number): void {
     const resumedAt = this.#context.pauses?.lastResumeMilliseconds ?? Number.NEGATIVE_INFINITY;
     for (const call of this.#running) {
       if (call.stuck || call.startedAt < resumedAt) {
@@ -209,23 +211,23 @@
       const age = nowMilliseconds - call.startedAt;
       if (age > this.#getStuckMilliseconds(call)) {
         call.stuck = true;
-        this.#note(call, "broken", age, nowMilliseconds);
+        this.#recordEvidence(call, "broken", age, nowMilliseconds);
       }
     }
   }
 
   #getStuckMilliseconds(call: RunningCall): number {
-    const { evidence } = this.judge;
+    const { evidence } = this.evaluator;
     const near = call.declared.target.dataCentre === this.#context.self.dataCentre;
     const slow = evidence.getSlowMilliseconds(call.route, near) ??
       evidence.getSlowestMilliseconds();
     return slow === undefined
-      ? UNKNOWN_STUCK_MILLISECONDS
-      : Math.max(slow * STUCK_FACTOR, LEAST_STUCK_MILLISECONDS);
+      ? DEFAULT_STUCK_MILLISECONDS
+      : Math.max(slow * STUCK_FACTOR, MINIMUM_STUCK_MILLISECONDS);
   }
 }
 
-function classifyOutcome(result: types.CallResult): reporters.CallKind["result"] {
+function classifyOutcome(result: types.CallResult): reporters.CallKey["result"] {
   switch (result) {
     case "success":
       return "answered";
--- a/packages/targets/src/create_target_pool.ts
+++ b/packages/targets/src/create_target_pool.ts
@@ -1,5 +1,5 @@
 /**
- * Creates the target pool of a VM from the services that the VM has.
+ * Creates the target pool of a VM from the VM's registered services.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -10,12 +10,12 @@
 import * as probes from "./http_probe.ts";
 import type * as types from "./types.ts";
 
-/** The name under which the target pool is found. */
+/** The service name of the target pool. */
 export const TARGET_POOL = kernel.createServiceName<types.TargetPool>("target-pool");
 
 /**
- * Creates the target pool. The services that it uses must be registered before. Without a peer network
- * or a membership, the VM judges targets by its own calls alone.
+ * Creates the target pool. The services that it uses must already be registered. Without a peer
+ * network or a membership, the VM evaluates targets by its own calls alone.
  */
 export function createTargetPool(
   services: kernel.Kernel,
--- a/packages/targets/src/evidence_exchange.ts
+++ b/packages/targets/src/evidence_exchange.ts
@@ -1,89 +1,90 @@
 /**
- * Moves evidence and verdicts between this VM and the coordinators, and acts as coordinator itself.
+ * Exchanges evidence and verdicts with the coordinators, and runs the coordinators on this VM.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
 import * as fleet from "@hemlockwalk/fleet";
 import * as kernel from "@hemlockwalk/kernel";
 import type * as model from "@hemlockwalk/model";
-import * as boards from "./verdict_store.ts";
+import * as verdictStores from "./verdict_store.ts";
 import * as coordinators from "./coordinator.ts";
 import * as floors from "./floor.ts";
 import * as intervals from "./evidence_intervals.ts";
-import * as judges from "./service_evaluator.ts";
+import * as evaluators from "./service_evaluator.ts";
 import * as messages from "./messages.ts";
 import type * as poolMetrics from "./pool_metrics.ts";
-import type * as pools from "./pool_options.ts";
+import type * as poolOptions from "./pool_options.ts";
 import type * as types from "./types.ts";
 
 /**
- * Evidence, in nats, for an ejection by the coordinator: one wrong look in 160,000 at twice the share
- * that the other targets show, and far fewer at that share itself.
+ * Evidence, in nats, that the coordinator requires for an ejection. The rate of false positives is
+ * one in 160,000 evaluations for a target with twice the bad-call share of the other targets, and
+ * far lower for a target with the same share.
  */
 const COORDINATOR_NATS = 12;
 
 /**
- * VMs that must each have seen a bad call, where the target has more slots than that. A hanging target
- * of few slots is full before more VMs meet it.
+ * Number of VMs that must each have observed a bad call. Targets with few slots require fewer VMs,
+ * since all slots of a hanging target may be taken before more VMs have called it.
  */
-const LEAST_SOURCES = 3;
-const LEAST_SOURCES_FOR_FEW_SLOTS = 2;
+const MINIMUM_SOURCES = 3;
+const MINIMUM_SOURCES_FOR_FEW_SLOTS = 2;
 
-/** Coordinators whose verdicts are followed: the first, and the one that takes over from it. */
+/** Coordinators whose verdicts are followed: the first-ranked one, and its successor. */
 const FOLLOWED_COORDINATORS = 2;
 
-/** What the exchange needs from its VM. */
+/** Services of the VM that the exchange uses. */
 export interface ExchangeContext {
   readonly network: fleet.PeerNetwork;
   readonly membership: fleet.Membership;
   readonly configuration: configuration.ConfigurationService;
   readonly metrics: poolMetrics.PoolMetrics;
-  readonly guards: pools.Guards;
+  readonly guards: poolOptions.Guards;
   /** Called with the loads that a coordinator reports. */
   readonly onLoads: (service: model.ServiceId, loads: readonly messages.TargetLoad[]) => void;
 }
 
-/** This VM's part in pooling evidence. */
+/** Exchanges evidence and verdicts with the other VMs. */
 export class EvidenceExchange {
   readonly #context: ExchangeContext;
-  readonly #board: boards.VerdictBoard;
+  readonly #verdictStore: verdictStores.VerdictStore;
   readonly #coordinators = new Map<model.ServiceId, coordinators.Coordinator>();
   readonly #ranked = new Map<model.ServiceId, readonly model.VmId[]>();
-  readonly #near = new Map<types.ShortId, model.DataCentreId>();
+  readonly #dataCentresByTarget = new Map<types.ShortId, model.DataCentreId>();
   #view: readonly fleet.Member[] = [];
   #members = 1;
   #dataCentres = 1;
 
   constructor(context: ExchangeContext) {
     this.#context = context;
-    this.#board = new boards.VerdictBoard(context.guards.verdictExpiry);
-    context.membership.onChange(() => this.#noteMembers());
-    this.#noteMembers();
+    this.#verdictStore = new verdictStores.VerdictStore(context.guards.verdictExpiry);
+    context.membership.onChange(() => this.#updateMembers());
+    this.#updateMembers();
     const { network } = context;
     network.handle(messages.DIGEST_CHANNEL, (message) => this.#onDigest(message));
     network.handle(messages.VERDICT_CHANNEL, (message) => this.#onVerdicts(message));
   }
 
-  /** Members of the fleet in this VM's view. */
+  /** Number of members of the fleet in this VM's view. */
   get members(): number {
     return this.#members;
   }
 
-  /** This VM's view of the fleet. It is replaced, not changed. */
+  /** This VM's view of the fleet. The array is replaced on a change, never modified. */
   listMembers(): readonly fleet.Member[] {
     return this.#view;
   }
 
-  /** Takes over a new configuration. */
+  /** Applies a new configuration. */
   update(snapshot: configuration.Snapshot): void {
-    this.#near.clear();
+    this.#dataCentresByTarget.clear();
     for (const service of snapshot.listServices()) {
       for (const target of snapshot.listTargets(service.id)) {
-        this.#near.set(messages.createShortId(target.id), target.dataCentre);
+        this.#dataCentresByTarget.set(messages.createShortId(target.id), target.dataCentre);
       }
     }
     for (const [service, coordinator] of this.#coordinators) {
-      this.#declare(service, coordinator.judge);
+      this.#setTargets(service, coordinator.evaluator);
     }
   }
 
@@ -102,12 +103,15 @@
   }
 
   /** The verdicts on a service that this VM follows. */
-  getCurrent(service: model.ServiceId, nowMilliseconds: number): boards.HeldVerdicts | undefined {
-    return this.#board.getCurrent(service, this.#rank(service), nowMilliseconds);
+  getCurrent(
+    service: model.ServiceId,
+    nowMilliseconds: number,
+  ): verdictStores.HeldVerdicts | undefined {
+    return this.#verdictStore.getCurrent(service, this.#rank(service), nowMilliseconds);
   }
 
-  /** What this VM's held verdicts are, when they come from another than the first coordinator. */
-  getForeignVerdicts(
+  /** The verdicts that this VM follows, if they are not those of the first-ranked coordinator. */
+  getHandoverVerdicts(
     service: model.ServiceId,
     nowMilliseconds: number,
   ): readonly types.Verdict[] | undefined {
@@ -123,27 +127,27 @@
     }));
   }
 
-  /** Does what is due. */
+  /** Performs the work that is due. */
   tick(nowMilliseconds: number): void {
-    const expired = this.#board.removeExpired(nowMilliseconds);
+    const expired = this.#verdictStore.removeExpired(nowMilliseconds);
     this.#context.metrics.verdictsExpired.inc(expired);
     for (const [service, coordinator] of this.#coordinators) {
       coordinator.evaluate(nowMilliseconds);
-      coordinator.expireUsers(nowMilliseconds);
-      if (!coordinator.isUsed) {
+      coordinator.expireSenders(nowMilliseconds);
+      if (!coordinator.hasSenders) {
         this.#coordinators.delete(service);
       }
     }
   }
 
-  /** Voids the evidence of all services after a pause. */
-  voidEvidence(): void {
+  /** Discards the evidence of all services, such as after a pause. */
+  discardEvidence(): void {
     for (const coordinator of this.#coordinators.values()) {
-      coordinator.voidEvidence();
+      coordinator.discardEvidence();
     }
   }
 
-  #noteMembers(): void {
+  #updateMembers(): void {
     const members = this.#context.membership.listMembers();
     this.#ranked.clear();
     this.#view = [...members];
@@ -202,7 +206,7 @@
       metrics.verdictMessages.inc({ result: "other_life" });
       return;
     }
-    const ignored = this.#board.accept(
+    const ignored = this.#verdictStore.accept(
       from,
       message,
       intervals.getVerdictLifetime(this.#members),
@@ -220,37 +224,37 @@
       return coordinator;
     }
     const { metrics, guards } = this.#context;
-    const judge = new judges.ServiceJudge(
+    const evaluator = new evaluators.ServiceEvaluator(
       {
         nats: COORDINATOR_NATS,
-        // Several VMs clear each other.
-        leastPeers: 0,
-        getLeastSources: () => this.#getLeastSources(service),
-        separatesPaths: () => guards.pathCheck && this.#dataCentres > 1,
-        keepFloor: guards.floor,
+        // Evidence from several VMs already rules out a local fault of one of them.
+        minimumPeers: 0,
+        getMinimumSources: () => this.#getMinimumSources(service),
+        comparesDataCentres: () => guards.pathCheck && this.#dataCentres > 1,
+        enforceFloor: guards.floor,
       },
-      metrics.createJudgeEvents("coordinator", service),
+      metrics.createEvaluatorEvents("coordinator", service),
     );
     coordinator = new coordinators.Coordinator({
       service,
-      judge,
+      evaluator,
       send: (to, message) => this.#sendVerdicts(to, message),
-      countVoid: (reason, calls) => metrics.countVoid(reason, calls),
+      countDiscarded: (reason, calls) => metrics.countDiscarded(reason, calls),
       countMembers: () => this.#members,
       isNear: (target, dataCentre) => {
-        const near = this.#near.get(target);
-        return near === undefined ? undefined : near === dataCentre;
+        const targetDataCentre = this.#dataCentresByTarget.get(target);
+        return targetDataCentre === undefined ? undefined : targetDataCentre === dataCentre;
       },
     });
-    this.#declare(service, judge);
+    this.#setTargets(service, evaluator);
     this.#coordinators.set(service, coordinator);
     return coordinator;
   }
 
-  #getLeastSources(service: model.ServiceId): number {
+  #getMinimumSources(service: model.ServiceId): number {
     const slots = this.#context.configuration.getSnapshot()?.findService(service)?.slots ?? 1;
-    const least = slots > LEAST_SOURCES ? LEAST_SOURCES : LEAST_SOURCES_FOR_FEW_SLOTS;
-    return Math.min(least, this.#members);
+    const minimum = slots > MINIMUM_SOURCES ? MINIMUM_SOURCES : MINIMUM_SOURCES_FOR_FEW_SLOTS;
+    return Math.min(minimum, this.#members);
   }
 
   #sendVerdicts(to: model.VmId, message: messages.VerdictMessage): void {
@@ -262,11 +266,11 @@
     network.send(to, messages.VERDICT_CHANNEL, message);
   }
 
-  #declare(service: model.ServiceId, judge: judges.ServiceJudge): void {
+  #setTargets(service: model.ServiceId, evaluator: evaluators.ServiceEvaluator): void {
     const snapshot = this.#context.configuration.getSnapshot();
     const declared = snapshot?.listTargets(service) ?? [];
     const floor = snapshot?.findService(service)?.floor ?? 1;
-    judge.declare(
+    evaluator.setTargets(
       declared.map((target) => ({
         target: messages.createShortId(target.id),
         leaving: target.leaving,
--- a/packages/targets/src/evidence_reporter.ts
+++ b/packages/targets/src/evidence_reporter.ts
@@ -1,32 +1,32 @@
 /**
- * Collects what this VM's calls to one service showed until the next digest.
+ * Collects evidence from this VM's calls to one service until the next digest.
  */
 
 import type * as model from "@hemlockwalk/model";
 import * as messages from "./messages.ts";
-import type * as evidences from "./service_evidence.ts";
+import type * as serviceEvidence from "./service_evidence.ts";
 import type * as types from "./types.ts";
 
-/** A service to which there were no calls for this long is not reported on. */
-const USE_MILLISECONDS = 60_000;
+/** Regular digests on a service stop when it has had no calls for this long. */
+const IDLE_SERVICE_MILLISECONDS = 60_000;
 
-/** Different kinds of calls that wait for a digest. More are counted and dropped. */
-const MAXIMUM_KINDS = 2_000;
+/** Maximum number of entries that wait for a digest. Calls beyond them are not reported. */
+const MAXIMUM_PENDING_ENTRIES = 2_000;
 
-/** Which calls an entry counts. */
-export interface CallKind {
+/** What the calls that one entry counts have in common. */
+export interface CallKey {
   readonly target: types.ShortId;
   readonly route: types.ShortId;
-  readonly result: evidences.ReportedCalls["result"];
+  readonly result: serviceEvidence.ReportedCalls["result"];
   readonly bucket: number;
   readonly trial: boolean;
 }
 
-interface Pending extends CallKind {
+interface Pending extends CallKey {
   count: number;
 }
 
-/** What waits for the next digest on one service. */
+/** The evidence for the next digest on one service. */
 export class EvidenceReporter {
   readonly #service: model.ServiceId;
   readonly #pending = new Map<string, Pending>();
@@ -36,31 +36,31 @@
   #lastUrgentAt = Number.NEGATIVE_INFINITY;
   #lastCallAt = Number.NEGATIVE_INFINITY;
 
-  /** @param firstSentAt Spreads the digests of several VMs over the interval. */
+  /** @param firstSentAt Start of the first interval. It differs by VM, to spread their digests. */
   constructor(service: model.ServiceId, firstSentAt: number) {
     this.#service = service;
     this.#lastSentAt = firstSentAt;
   }
 
-  /** Adds a call. Tells whether it was kept. */
-  add(kind: CallKind, urgent: boolean, nowMilliseconds: number): boolean {
+  /** Adds a call. Returns whether it was kept. */
+  add(key: CallKey, urgent: boolean, nowMilliseconds: number): boolean {
     this.#lastCallAt = nowMilliseconds;
     this.#urgent ||= urgent;
-    const { target, route, result, bucket, trial } = kind;
+    const { target, route, result, bucket, trial } = key;
     const name = `${target} ${route} ${messages.packResult(result, bucket, trial)}`;
     const pending = this.#pending.get(name);
     if (pending !== undefined) {
       pending.count++;
       return true;
     }
-    if (this.#pending.size >= MAXIMUM_KINDS) {
+    if (this.#pending.size >= MAXIMUM_PENDING_ENTRIES) {
       return false;
     }
-    this.#pending.set(name, { ...kind, count: 1 });
+    this.#pending.set(name, { ...key, count: 1 });
     return true;
   }
 
-  /** Adds that a probe of a target out of use succeeded. */
+  /** Adds a successful probe of a target that is out of use. */
   addProbeSuccess(target: types.ShortId): void {
     this.#probed.add(target);
   }
@@ -75,12 +75,13 @@
     if (this.#urgent && nowMilliseconds - this.#lastUrgentAt >= urgentMilliseconds) {
       return true;
     }
-    return elapsed >= intervalMilliseconds && nowMilliseconds - this.#lastCallAt < USE_MILLISECONDS;
+    return elapsed >= intervalMilliseconds &&
+      nowMilliseconds - this.#lastCallAt < IDLE_SERVICE_MILLISECONDS;
   }
 
-  /** Takes what waits, as a digest. */
+  /** Returns the collected evidence as a digest, and clears it. */
   takeDigest(
-    suspect: boolean,
+    hasLocalFault: boolean,
     loads: Iterable<messages.TargetLoad>,
     held: readonly types.Verdict[] | undefined,
     nowMilliseconds: number,
@@ -92,7 +93,7 @@
     const digest: messages.Digest = {
       service: this.#service,
       sentAt: nowMilliseconds,
-      suspect,
+      suspect: hasLocalFault,
       calls,
       loads: messages.packLoads(loads),
     };
@@ -112,8 +113,8 @@
     return digest;
   }
 
-  /** Drops what waits, such as after a pause. Tells how many calls it was. */
-  voidPending(): number {
+  /** Discards the collected calls, such as after a pause, and returns their number. */
+  discardPending(): number {
     let calls = 0;
     for (const { count } of this.#pending.values()) {
       calls += count;
--- a/packages/targets/src/evidence_window.ts
+++ b/packages/targets/src/evidence_window.ts
@@ -1,11 +1,14 @@
 /**
- * What recent calls showed of one target, by time, source and route.
+ * Counts of the recent calls to one target, by time, data centre and route.
  */
 
 import type * as model from "@hemlockwalk/model";
 import type * as types from "./types.ts";
 
-/** Lengths of the windows over which a target is judged: short for busy targets, long for quiet ones. */
+/**
+ * Lengths of the windows over which a target is evaluated. Short windows react fast on busy
+ * targets; long windows collect enough calls on quiet ones.
+ */
 export const WINDOWS_MILLISECONDS = [
   1_000,
   2_000,
@@ -22,10 +25,10 @@
 const SLICE_MILLISECONDS = 250;
 const LONGEST_WINDOW_MILLISECONDS = 64_000;
 
-/** Calls of one target that went badly are listed one by one, up to this number. */
-const MAXIMUM_LISTED = 400;
+/** Maximum number of bad-call entries kept for one target. The oldest ones are dropped first. */
+const MAXIMUM_BAD_ENTRIES = 400;
 
-/** Counts of calls of one kind of source. */
+/** Numbers of calls by what they count as. `failed` includes `broken`. */
 export interface CallCounts {
   calls: number;
   broken: number;
@@ -34,15 +37,15 @@
   shed: number;
 }
 
-/** Counts of a window in detail. */
+/** Counts within one window, by data centre and route. */
 export interface WindowDetails {
   readonly byDataCentre: Map<model.DataCentreId, CallCounts>;
   readonly byRoute: Map<types.ShortId, CallCounts>;
-  /** VMs that saw a call of the kind in question go badly. */
+  /** VMs that reported a bad call of the evaluated kind. */
   readonly sources: Set<model.VmId>;
 }
 
-/** One or several calls of one kind from one VM. */
+/** One or more calls of one kind from one VM. */
 export interface Observation {
   readonly vm: model.VmId;
   readonly dataCentre: model.DataCentreId;
@@ -65,12 +68,12 @@
   readonly at: number;
 }
 
-/** Creates counts of nothing. */
+/** Creates counts that are all zero. */
 export function createCounts(): CallCounts {
   return { calls: 0, broken: 0, failed: 0, slow: 0, shed: 0 };
 }
 
-/** Adds counts to others. */
+/** Adds `added` to `sum`. */
 export function addCounts(sum: CallCounts, added: CallCounts): void {
   sum.calls += added.calls;
   sum.broken += added.broken;
@@ -87,28 +90,28 @@
   sum.shed -= removed.shed;
 }
 
-/** Recent calls of one target. */
+/** Counts of the recent calls to one target. */
 export class EvidenceWindow {
   #slices: Slice[] = [];
-  #bad: BadCalls[] = [];
+  #badCalls: BadCalls[] = [];
 
-  /** Adds calls that were reported now. */
+  /** Adds calls that have just been reported. */
   add(observation: Observation, nowMilliseconds: number): void {
     const slice = this.#getSlice(nowMilliseconds);
     const cell = getCell(slice, observation);
     count(slice, observation.kind, observation.count);
     count(cell, observation.kind, observation.count);
     if (isFault(observation.kind)) {
-      this.#bad.push({ ...observation, at: slice.start });
+      this.#badCalls.push({ ...observation, at: slice.start });
     }
-    if (this.#bad.length > MAXIMUM_LISTED) {
-      this.#bad.splice(0, this.#bad.length - MAXIMUM_LISTED);
+    if (this.#badCalls.length > MAXIMUM_BAD_ENTRIES) {
+      this.#badCalls.splice(0, this.#badCalls.length - MAXIMUM_BAD_ENTRIES);
     }
   }
 
-  /** Forgets the calls from one data centre. */
-  forgetFrom(dataCentre: model.DataCentreId): void {
-    this.#bad = this.#bad.filter((bad) => bad.dataCentre !== dataCentre);
+  /** Discards the calls from one data centre. */
+  discardFrom(dataCentre: model.DataCentreId): void {
+    this.#badCalls = this.#badCalls.filter((bad) => bad.dataCentre !== dataCentre);
     for (const slice of this.#slices) {
       for (const [name, cell] of slice.cells) {
         if (cell.dataCentre === dataCentre) {
@@ -119,7 +122,7 @@
     }
   }
 
-  /** Counts for each window length, in the order of the lengths. */
+  /** Counts for each window, in the order of `WINDOWS_MILLISECONDS`. */
   getTotals(nowMilliseconds: number): CallCounts[] {
     this.#expire(nowMilliseconds);
     const totals: CallCounts[] = [];
@@ -138,17 +141,17 @@
     return totals;
   }
 
-  /** When the first call within a window went badly; undefined when none did. */
+  /** Time of the first bad call within a window; undefined if there is none. */
   getFirstBad(
     kind: types.FaultKind,
     windowMilliseconds: number,
     nowMilliseconds: number,
   ): number | undefined {
     const oldest = nowMilliseconds - windowMilliseconds;
-    return this.#bad.find((bad) => bad.at > oldest && showsFault(bad.kind, kind))?.at;
+    return this.#badCalls.find((bad) => bad.at > oldest && matchesKind(bad.kind, kind))?.at;
   }
 
-  /** Counts from a time on. */
+  /** Counts of the calls since the given time. */
   countSince(since: number): CallCounts {
     const sum = createCounts();
     for (let index = this.#slices.length - 1; index >= 0; index--) {
@@ -162,8 +165,8 @@
   }
 
   /**
-   * Counts by source and route over one window, from the first bad call on. Calls before it went well
-   * everywhere and would make each source that is slow to report look healthy.
+   * Counts by data centre and route over one window, starting at the first bad call. Earlier calls
+   * were good everywhere. Counting them would make a data centre that reports late look healthy.
    */
   getDetails(
     kind: types.FaultKind,
@@ -186,8 +189,8 @@
         }
       }
     }
-    for (const bad of this.#bad) {
-      if (bad.at > since && showsFault(bad.kind, kind)) {
+    for (const bad of this.#badCalls) {
+      if (bad.at > since && matchesKind(bad.kind, kind)) {
         details.sources.add(bad.vm);
       }
     }
@@ -211,19 +214,19 @@
     while ((this.#slices[0]?.start ?? Infinity) <= oldest) {
       this.#slices.shift();
     }
-    while ((this.#bad[0]?.at ?? Infinity) <= oldest) {
-      this.#bad.shift();
+    while ((this.#badCalls[0]?.at ?? Infinity) <= oldest) {
+      this.#badCalls.shift();
     }
   }
 }
 
-/** Whether a call went badly, shed calls aside. */
+/** Whether a call is bad: broken, failed or slow. A shed call is not. */
 export function isFault(kind: types.EvidenceKind): kind is types.FaultKind {
   return kind === "broken" || kind === "failed" || kind === "slow";
 }
 
-function showsFault(seen: types.EvidenceKind, judged: types.FaultKind): boolean {
-  return seen === judged || (judged === "failed" && seen === "broken");
+function matchesKind(observed: types.EvidenceKind, evaluated: types.FaultKind): boolean {
+  return observed === evaluated || (evaluated === "failed" && observed === "broken");
 }
 
 function getCell(slice: Slice, observation: Observation): Cell {
--- a/packages/targets/src/fault_scope.ts
+++ b/packages/targets/src/fault_scope.ts
@@ -1,5 +1,5 @@
 /**
- * Tells a fault of a target from a fault of the path to it, or of one of its routes.
+ * Distinguishes faults of a target from faults of the network path to it or of one of its routes.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -7,26 +7,26 @@
 import * as statistics from "./statistics.ts";
 import type * as types from "./types.ts";
 
-/** Evidence, in nats, with which a source or a route is shown to be healthy. */
+/** Evidence, in nats, that shows a data centre or the other routes to be unaffected. */
 const HEALTHY_NATS = 7;
 
-/** Bad calls that the other data centres must have seen together, and the evidence in them. */
-const SPREAD_LEAST_CALLS = 2;
-const SPREAD_NATS = 7;
+/** Bad calls of the other data centres that show a fault of the target, and their evidence. */
+const OTHERS_MINIMUM_BAD_CALLS = 2;
+const OTHERS_NATS = 7;
 
-/** Where a fault shows. */
+/** The data centres that are affected by a fault. */
 export interface PathFinding {
-  /** Whether the target is at fault, since several data centres see it alike. */
-  readonly spread: boolean;
-  /** Whether some data centre has shown that it does not see the fault. */
+  /** Whether the fault is the target's own, since several data centres are affected. */
+  readonly isTargetFault: boolean;
+  /** Whether the calls of some data centre show that it is not affected by the fault. */
   readonly healthyElsewhere: boolean;
-  /** Otherwise the data centre from which it is seen. */
+  /** The most affected data centre; the only one if the fault is not the target's own. */
   readonly dataCentre?: model.DataCentreId | undefined;
 }
 
 /**
- * Tells whether the fault is the target's own. It is, when the data centres other than the worst
- * have seen it too and none has shown that it does not see it.
+ * Determines whether the fault is the target's own: data centres other than the most affected one
+ * are affected too, and none is shown to be unaffected.
  */
 export function findFaultyPath(
   byDataCentre: ReadonlyMap<model.DataCentreId, windows.CallCounts>,
@@ -35,41 +35,40 @@
 ): PathFinding {
   const worst = findWorst(byDataCentre, kind);
   if (worst === undefined) {
-    return { spread: false, healthyElsewhere: false };
+    return { isTargetFault: false, healthyElsewhere: false };
   }
   const { name, counts } = worst;
   let othersBad = 0;
   let othersCalls = 0;
-  let healthy = false;
+  let healthyElsewhere = false;
   for (const [dataCentre, other] of byDataCentre) {
     if (dataCentre !== name) {
       othersBad += other[kind];
       othersCalls += other.calls;
-      healthy ||= isHealthy(other, counts, kind);
+      healthyElsewhere ||= isUnaffected(other, counts, kind);
     }
   }
-  const spread = !healthy && othersBad >= SPREAD_LEAST_CALLS &&
-    statistics.isAboveShare(othersBad, othersCalls, expectedShare, SPREAD_NATS);
-  return { spread, healthyElsewhere: healthy, dataCentre: name };
+  const isTargetFault = !healthyElsewhere && othersBad >= OTHERS_MINIMUM_BAD_CALLS &&
+    statistics.isAboveShare(othersBad, othersCalls, expectedShare, OTHERS_NATS);
+  return { isTargetFault, healthyElsewhere, dataCentre: name };
 }
 
 /**
- * The one route on which alone a target fails; undefined when the target fails as a whole or not at
- * all.
+ * The only route on which a target fails; undefined if it fails on several routes or on none.
  */
 export function findFaultyRoute(
   byRoute: ReadonlyMap<types.ShortId, windows.CallCounts>,
   kind: types.FaultKind,
   expectedShare: number,
   nats: number,
-  materialShare: number,
+  minimumShare: number,
 ): types.ShortId | undefined {
   const worst = findWorst(byRoute, kind);
   if (worst === undefined) {
     return undefined;
   }
   const { name, counts } = worst;
-  const faulty = counts[kind] >= counts.calls * materialShare &&
+  const faulty = counts[kind] >= counts.calls * minimumShare &&
     statistics.isAboveShare(counts[kind], counts.calls, expectedShare, nats);
   let othersBad = 0;
   let othersCalls = 0;
@@ -97,7 +96,7 @@
   return worst;
 }
 
-function isHealthy(
+function isUnaffected(
   counts: windows.CallCounts,
   faulty: windows.CallCounts,
   kind: types.FaultKind,
--- a/packages/targets/src/http_probe.ts
+++ b/packages/targets/src/http_probe.ts
@@ -1,5 +1,5 @@
 /**
- * Probes a target over HTTP.
+ * The health check of a target over HTTP.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -8,10 +8,10 @@
 
 const PROBE_TIMEOUT_MILLISECONDS = 1_000;
 
-/** Statuses from here on say that the target is not well. */
+/** A response with this status or a higher one is a failed probe. */
 const FIRST_ERROR_STATUS = 500;
 
-/** Asks for the head of a fixed path. Any answer below status 500 is taken as well. */
+/** Sends a HEAD request to a fixed path. Any status below 500 means that the target is healthy. */
 export class HttpProbe implements types.Probe {
   readonly #path: string;
 
--- a/packages/targets/src/latency_buckets.ts
+++ b/packages/targets/src/latency_buckets.ts
@@ -1,16 +1,16 @@
 /**
- * Latencies in buckets that are a quarter of a power of two wide, and a decaying distribution of them.
+ * Latency buckets, four for each doubling of the latency, and a decaying histogram of them.
  */
 
 const BUCKETS_PER_DOUBLING = 4;
 
-/** Lower end of the first bucket. */
+/** Latency in the middle of the first bucket. */
 const FIRST_BUCKET_MILLISECONDS = 1 / 16;
 
-/** Number of buckets; the last one begins above four minutes. */
+/** Number of buckets. The last one holds all latencies above 13 minutes. */
 export const BUCKET_COUNT = 96;
 
-/** The distribution halves its counts after this time, so that old calls lose their weight. */
+/** All counts are halved after this time, so that old calls lose their weight. */
 const HALF_LIFE_MILLISECONDS = 10_000;
 
 /** The bucket of a latency. */
@@ -24,8 +24,8 @@
   return FIRST_BUCKET_MILLISECONDS * 2 ** (bucket / BUCKETS_PER_DOUBLING);
 }
 
-/** Recent latencies, from which the median is read. */
-export class RecentLatencies {
+/** Decaying histogram of the recent latencies. */
+export class LatencyHistogram {
   readonly #counts = new Float64Array(BUCKET_COUNT);
   #total = 0;
   #halvedAt: number;
@@ -34,7 +34,7 @@
     this.#halvedAt = nowMilliseconds;
   }
 
-  /** Number of calls recorded, less what has lost its weight. */
+  /** Number of recorded calls, in which older calls count less. */
   get count(): number {
     return this.#total;
   }
@@ -45,9 +45,9 @@
     this.#total += count;
   }
 
-  /** The median in milliseconds; undefined while there are fewer calls than demanded. */
-  getMedian(leastCalls: number): number | undefined {
-    if (this.#total < leastCalls) {
+  /** The median in milliseconds; undefined with fewer than `minimumCalls` calls. */
+  getMedian(minimumCalls: number): number | undefined {
+    if (this.#total < minimumCalls) {
       return undefined;
     }
     let below = 0;
--- a/packages/targets/src/least_loaded_strategy.ts
+++ b/packages/targets/src/least_loaded_strategy.ts
@@ -1,12 +1,12 @@
 /**
- * The target on which this VM runs the fewest requests. A baseline of the other strategies.
+ * Chooses the target on which this VM runs the fewest requests. A baseline for other strategies.
  */
 
 import type * as model from "@hemlockwalk/model";
 import type * as random from "./random.ts";
 import type * as types from "./types.ts";
 
-/** Takes the target with the fewest requests of this VM, at random among equals. */
+/** Chooses the target with the fewest requests of this VM, at random among equals. */
 export class LeastLoadedStrategy implements types.ChoiceStrategy {
   readonly #random: random.RandomSource;
 
--- a/packages/targets/src/local_fault_detector.ts
+++ b/packages/targets/src/local_fault_detector.ts
@@ -1,13 +1,14 @@
 /**
- * Tells whether this VM itself is likely to be at fault, since calls to many targets go badly at once.
+ * Detects likely faults of this VM or its network path: calls to many targets are bad at the same
+ * time.
  */
 
 import type * as types from "./types.ts";
 
 const WINDOW_MILLISECONDS = 5_000;
 
-/** Targets for which calls must go badly, and their share of the targets that were called. */
-const LEAST_BAD_TARGETS = 3;
+/** Targets with bad calls, and their share of the called targets, that a local fault requires. */
+const MINIMUM_BAD_TARGETS = 3;
 const BAD_TARGET_SHARE = 0.5;
 
 interface LatestCalls {
@@ -15,8 +16,8 @@
   badAt: number;
 }
 
-/** Recent calls of this VM to all targets of all services. */
-export class SelfSuspicion {
+/** Detects local faults by the recent calls of this VM to all targets of all services. */
+export class LocalFaultDetector {
   readonly #targets = new Map<types.ShortId, LatestCalls>();
   readonly #enabled: boolean;
   #lastBadAt = Number.NEGATIVE_INFINITY;
@@ -25,8 +26,8 @@
     this.#enabled = enabled;
   }
 
-  /** Notes a call and whether it went badly. */
-  note(target: types.ShortId, bad: boolean, nowMilliseconds: number): void {
+  /** Records a call and whether it was bad. */
+  recordCall(target: types.ShortId, bad: boolean, nowMilliseconds: number): void {
     let calls = this.#targets.get(target);
     if (calls === undefined) {
       calls = { callAt: 0, badAt: Number.NEGATIVE_INFINITY };
@@ -39,8 +40,8 @@
     }
   }
 
-  /** Whether this VM should not trust what it sees. */
-  isSuspect(nowMilliseconds: number): boolean {
+  /** Whether a fault of this VM or its network path is likely to be the cause of its bad calls. */
+  hasLocalFault(nowMilliseconds: number): boolean {
     const since = nowMilliseconds - WINDOW_MILLISECONDS;
     if (this.#lastBadAt < since) {
       return false;
@@ -57,6 +58,6 @@
         bad++;
       }
     }
-    return this.#enabled && bad >= LEAST_BAD_TARGETS && bad >= called * BAD_TARGET_SHARE;
+    return this.#enabled && bad >= MINIMUM_BAD_TARGETS && bad >= called * BAD_TARGET_SHARE;
   }
 }
--- a/packages/targets/src/messages.ts
+++ b/packages/targets/src/messages.ts
@@ -1,13 +1,14 @@
 /**
- * Messages between the VMs of a service and its coordinator, with the schemas by which the receiver
- * checks them. Lists of numbers are flat, since they make up most of the bytes.
+ * Messages between the VMs and the coordinator of a service, with the schemas by which the receiver
+ * validates them. Entries are packed into flat lists of numbers, since they make up most of the
+ * bytes.
  */
 
 import * as fleet from "@hemlockwalk/fleet";
 import type * as model from "@hemlockwalk/model";
 import * as zod from "zod";
 import * as latencies from "./latency_buckets.ts";
-import type * as evidences from "./service_evidence.ts";
+import type * as serviceEvidence from "./service_evidence.ts";
 import type * as types from "./types.ts";
 
 /** Evidence from a VM to the coordinator of a service. */
@@ -21,8 +22,8 @@
 const LOAD_FIELDS = 2;
 const VERDICT_FIELDS = 6;
 
-/** Loads travel in hundredths of a request. */
-const LOAD_UNITS = 100;
+/** Loads are sent in hundredths of a request. */
+const LOAD_UNITS_PER_REQUEST = 100;
 
 const TRIAL_FLAG = 4;
 const BUCKET_FACTOR = 8;
@@ -37,22 +38,22 @@
 const serviceId = zod.string().min(1).max(63).transform((value) => value as model.ServiceId);
 
 const verdicts = zod.strictObject({
-  /** Target, route or 0, data centre as index plus one or 0, state, remaining time, offences. */
+  /** Target, route or 0, data centre index plus one or 0, state, remaining time, ejection count. */
   list: numbers(VERDICT_FIELDS),
   dataCentres: zod.array(
     zod.string().min(1).max(63).transform((value) => value as model.DataCentreId),
   ).max(64),
 });
 
-/** Verdicts as they travel. */
+/** Verdicts as encoded in messages. */
 export type PackedVerdicts = zod.output<typeof verdicts>;
 
-/** What calls showed since the last digest. */
+/** Evidence that a VM has collected since its last digest. */
 export const digestSchema = zod.strictObject({
   service: serviceId,
-  /** Sender's clock, in milliseconds; comes back with the verdicts. */
+  /** Sending time in milliseconds, by the sender's clock; returned with the verdicts as `echo`. */
   sentAt: time,
-  /** Whether the sender suspects itself, since many targets fail for it at once. */
+  /** Whether the sender assumes a local fault, since its calls to many targets fail at once. */
   suspect: zod.boolean(),
   /** Target, route, result with bucket, count. */
   calls: numbers(CALL_FIELDS),
@@ -64,17 +65,17 @@
   held: verdicts.optional(),
 });
 
-/** A digest on its way. */
+/** A digest message. */
 export type Digest = zod.output<typeof digestSchema>;
 
-/** What the coordinator wants the VMs to do. */
+/** Verdicts and loads that a coordinator sends to a VM. */
 export const verdictSchema = zod.strictObject({
   service: serviceId,
-  /** Grows with each message of one coordinator. */
+  /** Incremented with each message of one coordinator. */
   sequence: zod.number().int().min(0),
-  /** The receiver's clock when it sent the newest digest that the coordinator has seen. */
+  /** `sentAt` of the newest digest that the coordinator has received from the receiver. */
   echo: time,
-  /** Hash of the incarnation that sent that digest. A replaced VM has another clock. */
+  /** Hash of the incarnation that sent that digest. A replaced VM has a different clock. */
   life: zod.number().int().min(0),
   verdicts,
   /** Whether the receiver may send trial requests. */
@@ -83,20 +84,20 @@
   loads: numbers(LOAD_FIELDS),
 });
 
-/** Verdicts on their way. */
+/** A verdict message. */
 export type VerdictMessage = zod.output<typeof verdictSchema>;
 
-/** Calls of one digest entry, without their source. */
+/** Calls of one digest entry, without the VM that reported them. */
 export interface DigestCalls {
   readonly target: types.ShortId;
   readonly route: types.ShortId;
-  readonly result: evidences.ReportedCalls["result"];
+  readonly result: serviceEvidence.ReportedCalls["result"];
   readonly bucket: number;
   readonly trial: boolean;
   readonly count: number;
 }
 
-/** The running requests of one target. */
+/** Number of requests that run on one target, averaged over time. */
 export interface TargetLoad {
   readonly target: types.ShortId;
   readonly running: number;
@@ -107,9 +108,9 @@
   return fleet.hashText(id) as types.ShortId;
 }
 
-/** Packs how calls ended into one number. */
+/** Packs the result, latency bucket and trial flag of calls into one number. */
 export function packResult(
-  result: evidences.ReportedCalls["result"],
+  result: serviceEvidence.ReportedCalls["result"],
   bucket: number,
   trial: boolean,
 ): number {
@@ -141,7 +142,7 @@
 export function packLoads(loads: Iterable<TargetLoad>): number[] {
   const packed: number[] = [];
   for (const { target, running } of loads) {
-    packed.push(target, Math.round(running * LOAD_UNITS));
+    packed.push(target, Math.round(running * LOAD_UNITS_PER_REQUEST));
   }
   return packed;
 }
@@ -151,7 +152,7 @@
   const loads: TargetLoad[] = [];
   for (let index = 0; index < packed.length; index += LOAD_FIELDS) {
     const [target = 0, units = 0] = packed.slice(index, index + LOAD_FIELDS);
-    loads.push({ target: target as types.ShortId, running: units / LOAD_UNITS });
+    loads.push({ target: target as types.ShortId, running: units / LOAD_UNITS_PER_REQUEST });
   }
   return loads;
 }
@@ -160,7 +161,7 @@
 export function packVerdicts(list: readonly types.Verdict[]): PackedVerdicts {
   const dataCentres: model.DataCentreId[] = [];
   const packed: number[] = [];
-  for (const { target, scope, state, remainingMilliseconds, offences } of list) {
+  for (const { target, scope, state, remainingMilliseconds, ejectionCount } of list) {
     if (scope.dataCentre !== undefined && !dataCentres.includes(scope.dataCentre)) {
       dataCentres.push(scope.dataCentre);
     }
@@ -173,7 +174,7 @@
       dataCentre,
       STATES.indexOf(state),
       Math.round(remainingMilliseconds),
-      offences,
+      ejectionCount,
     );
   }
   return { list: packed, dataCentres };
@@ -183,8 +184,9 @@
 export function listVerdicts(packed: PackedVerdicts): types.Verdict[] {
   const list: types.Verdict[] = [];
   for (let index = 0; index < packed.list.length; index += VERDICT_FIELDS) {
-    const [target = 0, route = 0, dataCentre = 0, state = 0, remaining = 0, offences = 0] = packed
-      .list.slice(index, index + VERDICT_FIELDS);
+    const [target = 0, route = 0, dataCentre = 0, state = 0, remaining = 0, ejectionCount = 0] =
+      packed
+        .list.slice(index, index + VERDICT_FIELDS);
     list.push({
       target: target as types.ShortId,
       scope: {
@@ -193,7 +195,7 @@
       },
       state: STATES[state] ?? "out",
       remainingMilliseconds: remaining,
-      offences: Math.max(1, offences),
+      ejectionCount: Math.max(1, ejectionCount),
     });
   }
   return list;
--- a/packages/targets/src/peer_comparison.ts
+++ b/packages/targets/src/peer_comparison.ts
@@ -1,32 +1,33 @@
 /**
- * What is expected of a target, from what the calls to the service's other targets show.
+ * The share of bad calls expected of a target, derived from the calls to its service's other
+ * targets.
  */
 
 import * as windows from "./evidence_window.ts";
 import type * as types from "./types.ts";
 
-/** Shares of bad calls that are expected of a healthy target at the least. */
-export const LEAST_SHARES = { broken: 0.002, failed: 0.005, slow: 0.01 } as const;
+/** Smallest share of bad calls that is expected of a healthy target. */
+export const MINIMUM_EXPECTED_SHARES = { broken: 0.002, failed: 0.005, slow: 0.01 } as const;
 
-/** The expected share is this many times the share that the other targets show. */
+/** The expected share is this many times the share observed on the other targets. */
 const PEER_SHARE_FACTOR = 2;
 
-/** A share of bad calls from which on a target is taken for bad in a comparison. */
-const BAD_PEER_SHARE = 0.25;
+/** Share of bad calls at which a target counts as failing in a comparison. */
+const FAILING_PEER_SHARE = 0.25;
 
-/** Bad calls from which on a target with a large share of them is not compared with. */
-const SICK_PEER_CALLS = 3;
+/** A failing target with at least this many bad calls is left out of the comparison. */
+const FAILING_PEER_CALLS = 3;
 
-/** Shares of the service's calls above which slowness is taken for overload. */
+/** Shares of the other targets' calls above which slow calls are attributed to overload. */
 const OVERLOAD_SHED_SHARE = 0.05;
 const OVERLOAD_SLOW_SHARE = 0.25;
 
-/** A share of a target's own calls above which its slowness is taken for load. */
+/** Share of shed calls above which a target's slow calls are attributed to its load. */
 const TARGET_SHED_SHARE = 0.1;
 
-/** Whether a large share of a target's calls is bad. */
-export function isBad(kind: types.FaultKind, counts: windows.CallCounts): boolean {
-  return counts[kind] > 0 && counts[kind] >= counts.calls * BAD_PEER_SHARE;
+/** Whether the share of bad calls is large enough for the target to count as failing. */
+export function isFailing(kind: types.FaultKind, counts: windows.CallCounts): boolean {
+  return counts[kind] > 0 && counts[kind] >= counts.calls * FAILING_PEER_SHARE;
 }
 
 /** Counts of the other targets that were called in a window. */
@@ -45,7 +46,7 @@
   return peers;
 }
 
-/** Whether slowness is load: of the whole service, or of a target that sheds. */
+/** Whether slow calls are explained by load on the whole service, or on a target that sheds it. */
 export function isOverloaded(
   own: windows.CallCounts,
   peers: readonly windows.CallCounts[],
@@ -59,19 +60,19 @@
     sum.slow > sum.calls * OVERLOAD_SLOW_SHARE;
 }
 
-/** The share of bad calls that a healthy target may show, from the others that are not clearly sick. */
+/** Share of bad calls expected of a healthy target, from the peers that are not clearly failing. */
 export function getExpectedShare(
   kind: types.FaultKind,
   peers: readonly windows.CallCounts[],
-  longPeers: readonly windows.CallCounts[],
+  longTermPeers: readonly windows.CallCounts[],
 ): number {
-  const least = LEAST_SHARES[kind];
-  const now = sumHealthy(kind, peers);
-  const long = sumHealthy(kind, longPeers);
-  const longShare = (long[kind] + 1) / (long.calls + 1 / least);
-  // A single bad call in a short window says little about the share.
-  const nowShare = now[kind] > 1 ? now[kind] / now.calls : 0;
-  return Math.max(least, Math.max(longShare, nowShare) * PEER_SHARE_FACTOR);
+  const minimum = MINIMUM_EXPECTED_SHARES[kind];
+  const recent = sumHealthy(kind, peers);
+  const longTerm = sumHealthy(kind, longTermPeers);
+  const longTermShare = (longTerm[kind] + 1) / (longTerm.calls + 1 / minimum);
+  // A single bad call in a short window is too little evidence of the share.
+  const recentShare = recent[kind] > 1 ? recent[kind] / recent.calls : 0;
+  return Math.max(minimum, Math.max(longTermShare, recentShare) * PEER_SHARE_FACTOR);
 }
 
 function sumHealthy(
@@ -80,7 +81,7 @@
 ): windows.CallCounts {
   const sum = windows.createCounts();
   for (const counts of peers) {
-    if (counts[kind] < SICK_PEER_CALLS || !isBad(kind, counts)) {
+    if (counts[kind] < FAILING_PEER_CALLS || !isFailing(kind, counts)) {
       windows.addCounts(sum, counts);
     }
   }
--- a/packages/targets/src/pool_metrics.ts
+++ b/packages/targets/src/pool_metrics.ts
@@ -1,19 +1,19 @@
 /**
- * Counters of the target pool.
+ * Counters and log lines of the target pool.
  */
 
 import type * as kernel from "@hemlockwalk/kernel";
 import type * as model from "@hemlockwalk/model";
 import type * as coordinators from "./coordinator.ts";
-import type * as judges from "./service_evaluator.ts";
-import type * as evidences from "./service_evidence.ts";
+import type * as evaluators from "./service_evaluator.ts";
+import type * as serviceEvidence from "./service_evidence.ts";
 import type * as types from "./types.ts";
 
-/** Who judges a target: the coordinator over all VMs, or this VM for itself. */
-export type JudgeKind = "coordinator" | "local";
+/** Whose evaluator it is: the coordinator's, for all VMs, or this VM's own. */
+export type EvaluatorKind = "coordinator" | "local";
 
-/** Finds the identifier of a target for the log. */
-export type NameTarget = (service: model.ServiceId, target: types.ShortId) => string;
+/** Returns the identifier of a target for the log. */
+export type GetTargetName = (service: model.ServiceId, target: types.ShortId) => string;
 
 /** All counters of one VM's pool. */
 export class PoolMetrics {
@@ -21,7 +21,7 @@
   readonly returns;
   readonly trialFailures;
   readonly refusedByFloor;
-  readonly voidEvidence;
+  readonly discardedEvidence;
   readonly verdictMessages;
   readonly verdictsExpired;
   readonly digests;
@@ -30,24 +30,24 @@
   readonly trialRequests;
   readonly probes;
   readonly #logger: kernel.PartLogger;
-  readonly #nameTarget: NameTarget;
+  readonly #getTargetName: GetTargetName;
 
-  constructor(metrics: kernel.Metrics, logger: kernel.PartLogger, nameTarget: NameTarget) {
+  constructor(metrics: kernel.Metrics, logger: kernel.PartLogger, getTargetName: GetTargetName) {
     this.#logger = logger;
-    this.#nameTarget = nameTarget;
+    this.#getTargetName = getTargetName;
     this.ejections = metrics.createCounter(
       "hemlockwalk_target_ejections_total",
-      "Targets put out of use, by judge, kind of fault and scope.",
+      "Ejections of targets, by judge, kind of fault and scope.",
       ["judge", "kind", "scope"],
     );
     this.returns = metrics.createCounter(
       "hemlockwalk_target_returns_total",
-      "Targets put back into use, by judge and reason.",
+      "Returns of ejected targets into use, by judge and reason.",
       ["judge", "reason"],
     );
     this.trialFailures = metrics.createCounter(
       "hemlockwalk_target_trial_failures_total",
-      "Trials that lengthened an ejection, by judge.",
+      "Failed trials, each of which prolonged an ejection, by judge.",
       ["judge"],
     );
     this.refusedByFloor = metrics.createCounter(
@@ -55,37 +55,37 @@
       "Ejections that the floor of the service did not allow, by judge.",
       ["judge"],
     );
-    this.voidEvidence = metrics.createCounter(
+    this.discardedEvidence = metrics.createCounter(
       "hemlockwalk_target_evidence_void_total",
       "Calls that did not count as evidence, by reason.",
       ["reason"],
     );
     this.verdictMessages = metrics.createCounter(
       "hemlockwalk_target_verdict_messages_total",
-      "Messages with verdicts, by what became of them.",
+      "Messages with verdicts, by result.",
       ["result"],
     );
     this.verdictsExpired = metrics.createCounter(
       "hemlockwalk_target_verdicts_expired_total",
-      "Verdicts that ended since their coordinator was not heard again in time.",
+      "Verdicts that expired because their coordinator did not renew them in time.",
     );
     this.digests = metrics.createCounter(
       "hemlockwalk_target_digests_total",
-      "Digests of evidence, by what became of them.",
+      "Digests of evidence, by result.",
       ["result"],
     );
     this.calls = metrics.createCounter(
       "hemlockwalk_target_calls_total",
-      "Calls to targets, by how they ended.",
+      "Calls to targets, by result.",
       ["result"],
     );
     this.noSlot = metrics.createCounter(
       "hemlockwalk_target_no_slot_total",
-      "Requests for which no target had a free slot at first.",
+      "Attempts to acquire a slot on a target that found no free one.",
     );
     this.trialRequests = metrics.createCounter(
       "hemlockwalk_target_trial_requests_total",
-      "Requests that were sent to targets out of use, to try them.",
+      "Trial requests sent to targets that are out of use.",
     );
     this.probes = metrics.createCounter(
       "hemlockwalk_target_probes_total",
@@ -94,33 +94,41 @@
     );
   }
 
-  /** Counts what a judge does. */
-  createJudgeEvents(judge: JudgeKind, service: model.ServiceId): judges.JudgeEvents {
+  /** Creates events that count and log what an evaluator does. */
+  createEvaluatorEvents(
+    evaluator: EvaluatorKind,
+    service: model.ServiceId,
+  ): evaluators.EvaluatorEvents {
     return {
       ejected: (finding) => {
         const { kind, evidence } = finding;
         const scope = getScopeLabel(finding);
-        this.ejections.inc({ judge, kind, scope });
+        this.ejections.inc({ judge: evaluator, kind, scope });
         this.#logger.warn("A target is ejected.", {
-          judge,
+          judge: evaluator,
           service,
-          target: this.#nameTarget(service, finding.target),
+          target: this.#getTargetName(service, finding.target),
           kind,
           scope,
           evidence: Math.round(evidence),
         });
       },
       returned: (target, reason) => {
-        this.returns.inc({ judge, reason });
-        const name = this.#nameTarget(service, target);
-        this.#logger.info("A target is back in use.", { judge, service, target: name, reason });
+        this.returns.inc({ judge: evaluator, reason });
+        const name = this.#getTargetName(service, target);
+        this.#logger.info("A target is back in use.", {
+          judge: evaluator,
+          service,
+          target: name,
+          reason,
+        });
       },
-      trialFailed: () => this.trialFailures.inc({ judge }),
+      trialFailed: () => this.trialFailures.inc({ judge: evaluator }),
       refusedByFloor: (target) => {
-        this.refusedByFloor.inc({ judge });
-        const name = this.#nameTarget(service, target);
-        this.#logger.warn("The floor keeps a sick target in use.", {
-          judge,
+        this.refusedByFloor.inc({ judge: evaluator });
+        const name = this.#getTargetName(service, target);
+        this.#logger.warn("A failing target stays in use because of the floor.", {
+          judge: evaluator,
           service,
           target: name,
         });
@@ -128,13 +136,13 @@
     };
   }
 
-  /** Counts evidence that is not used. */
-  countVoid(reason: coordinators.VoidReason | "too_many_kinds", calls: number): void {
-    this.voidEvidence.inc({ reason }, calls);
+  /** Counts calls that are discarded as evidence. */
+  countDiscarded(reason: coordinators.DiscardReason | "too_many_kinds", calls: number): void {
+    this.discardedEvidence.inc({ reason }, calls);
   }
 }
 
-function getScopeLabel(finding: evidences.Finding): string {
+function getScopeLabel(finding: serviceEvidence.Finding): string {
   const { dataCentre, route } = finding.scope;
   if (dataCentre !== undefined) {
     return route === undefined ? "data_centre" : "data_centre_and_route";
--- a/packages/targets/src/pool_options.ts
+++ b/packages/targets/src/pool_options.ts
@@ -1,29 +1,29 @@
 /**
- * What varies between pools: the strategy, the probe, and the guards that tests switch off.
+ * Options of a target pool: the strategy, the probe, and the guards that tests can disable.
  */
 
 import type * as types from "./types.ts";
 
-/** Guards of the pool. All are on, but in the tests that show that their checks notice. */
+/** Guards of the pool. Only tests disable one, to verify that they detect its absence. */
 export interface Guards {
   readonly floor: boolean;
-  readonly selfSuspicion: boolean;
+  readonly localFaultDetection: boolean;
   readonly pathCheck: boolean;
   readonly verdictExpiry: boolean;
 }
 
-/** All guards on. */
+/** All guards enabled. */
 export const ALL_GUARDS: Guards = {
   floor: true,
-  selfSuspicion: true,
+  localFaultDetection: true,
   pathCheck: true,
   verdictExpiry: true,
 };
 
-/** What a pool may be created with. */
+/** Options with which a pool is created. */
 export interface PoolOptions {
   readonly strategy?: types.ChoiceStrategy | undefined;
-  /** Whether sick targets are detected and ejected; the baselines do without. */
+  /** Whether failing targets are detected and ejected. The baselines run without detection. */
   readonly detection?: boolean | undefined;
   readonly probe?: types.Probe | undefined;
   readonly guards?: Guards | undefined;
--- a/packages/targets/src/power_of_two_strategy.ts
+++ b/packages/targets/src/power_of_two_strategy.ts
@@ -1,9 +1,11 @@
 /**
- * The better of two random targets, those in this VM's data centre first.
+ * Chooses the better of two random targets, and prefers targets in this VM's data centre.
  *
- * Two random choices keep VMs that share an old view from all running to the same target. Load counts
- * first: this VM's own requests and what the other VMs last reported. Among little-loaded targets the
- * faster one is only more likely, so that a slow one goes on giving evidence, on which it is judged.
+ * The random choice prevents VMs with the same outdated view from all choosing the same target. The
+ * cost of a target grows with its load (this VM's own requests and those last reported by the other
+ * VMs) and its latency. Between two lightly loaded targets with equally many own requests, the
+ * cheaper one is only more likely to be chosen, so that a slow target still receives enough calls
+ * to be evaluated.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -11,22 +13,22 @@
 import type * as random from "./random.ts";
 import type * as types from "./types.ts";
 
-/** A near target that is busier than this share of its slots makes requests spill over. */
+/** If the chosen near target is busier than this, targets of all data centres are considered. */
 const SPILL_UTILISATION = 0.7;
 
-/** Above this share of its slots a target's load alone decides. */
+/** Utilisation above which the cheaper target is always chosen. */
 const BUSY_UTILISATION = 0.5;
 
-/** Latencies count as this many times apart at the most. */
-const LATENCY_RANGE = 9;
+/** Greater ratios between two latencies count as this one. */
+const MAXIMUM_LATENCY_RATIO = 9;
 
-/** Shortest latency that is told from others. */
-const LEAST_LATENCY_MILLISECONDS = 1;
+/** Shorter latencies count as this one. */
+const MINIMUM_LATENCY_MILLISECONDS = 1;
 
-/** Draws for a candidate that its readiness lets through. */
-const MOST_DRAWS = 4;
+/** Draws of a candidate. Each accepts it with probability `readiness`, the last one always. */
+const MAXIMUM_DRAWS = 4;
 
-/** Chooses the better of two. */
+/** Chooses the better of two random candidates. */
 export class PowerOfTwoStrategy implements types.ChoiceStrategy {
   readonly #random: random.RandomSource;
 
@@ -52,17 +54,17 @@
     }
     const first = this.#draw(candidates);
     const second = this.#draw(candidates.filter((candidate) => candidate !== first));
-    const leftCost = getCost(first, second);
-    const rightCost = getCost(second, first);
+    const firstCost = getCost(first, second);
+    const secondCost = getCost(second, first);
     const busy = Math.max(getUtilisation(first), getUtilisation(second)) > BUSY_UTILISATION;
     if (busy || first.running !== second.running) {
-      return leftCost <= rightCost ? first : second;
+      return firstCost <= secondCost ? first : second;
     }
-    return this.#random.next() * (leftCost + rightCost) < rightCost ? first : second;
+    return this.#random.next() * (firstCost + secondCost) < secondCost ? first : second;
   }
 
   #draw(candidates: readonly types.Candidate[]): types.Candidate {
-    for (let draw = 1; draw < MOST_DRAWS; draw++) {
+    for (let draw = 1; draw < MAXIMUM_DRAWS; draw++) {
       const drawn = this.#random.pick(candidates);
       if (drawn !== undefined && this.#random.next() < drawn.readiness) {
         return drawn;
@@ -72,7 +74,7 @@
   }
 }
 
-/** Share of the target's slots that are taken once the request runs there. */
+/** Share of the target's slots that are in use once the request runs on it. */
 function getUtilisation(candidate: types.Candidate): number {
   return (getLoad(candidate) + 1) / (candidate.slots + 1);
 }
@@ -82,11 +84,14 @@
 }
 
 function getCost(candidate: types.Candidate, other: types.Candidate): number {
-  const own = Math.max(candidate.latencyMilliseconds ?? 0, LEAST_LATENCY_MILLISECONDS);
-  const others = Math.max(other.latencyMilliseconds ?? 0, LEAST_LATENCY_MILLISECONDS);
+  const own = Math.max(candidate.latencyMilliseconds ?? 0, MINIMUM_LATENCY_MILLISECONDS);
+  const others = Math.max(other.latencyMilliseconds ?? 0, MINIMUM_LATENCY_MILLISECONDS);
   const known = candidate.latencyMilliseconds !== undefined &&
     other.latencyMilliseconds !== undefined;
   const ratio = known ? Math.sqrt(own / others) : 1;
-  const bounded = Math.min(Math.max(ratio, 1 / Math.sqrt(LATENCY_RANGE)), Math.sqrt(LATENCY_RANGE));
+  const bounded = Math.min(
+    Math.max(ratio, 1 / Math.sqrt(MAXIMUM_LATENCY_RATIO)),
+    Math.sqrt(MAXIMUM_LATENCY_RATIO),
+  );
   return (getLoad(candidate) + 1) * bounded / candidate.readiness;
 }
--- a/packages/targets/src/prober.ts
+++ b/packages/targets/src/prober.ts
@@ -1,6 +1,6 @@
 /**
- * Probes targets that are out of use, within a budget. A success only brings the trial by real requests
- * forward; a failure changes nothing.
+ * Probes targets that are out of use, at a limited rate. A success only lets the trial requests
+ * begin earlier; a failure has no effect.
  */
 
 import type * as kernel from "@hemlockwalk/kernel";
@@ -8,14 +8,14 @@
 import type * as poolMetrics from "./pool_metrics.ts";
 import type * as types from "./types.ts";
 
-/** Probes that this VM sends at the most. */
-const BUDGET_FOR_SECOND = 2;
-const MILLISECONDS_IN_SECOND = 1_000;
+/** Maximum rate of the probes that this VM sends. */
+const MAXIMUM_PROBES_PER_SECOND = 2;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Shortest time between two probes of one target by this VM. */
 const TARGET_GAP_MILLISECONDS = 2_000;
 
-/** Sends probes. */
+/** Probes targets at a limited rate. */
 export class Prober implements kernel.Service {
   readonly #probe: types.Probe;
   readonly #metrics: poolMetrics.PoolMetrics;
@@ -28,18 +28,18 @@
     this.#metrics = metrics;
   }
 
-  /** Probes a target when the budget allows it, and calls back when it is well. */
-  offer(target: model.Target, nowMilliseconds: number, onSuccess: () => void): void {
+  /** Probes a target if the rate limits allow it, and calls `onSuccess` if it is healthy. */
+  probeIfAllowed(target: model.Target, nowMilliseconds: number, onSuccess: () => void): void {
     const probedAt = this.#probedAt.get(target.id) ?? Number.NEGATIVE_INFINITY;
     if (nowMilliseconds < this.#nextAt || nowMilliseconds - probedAt < TARGET_GAP_MILLISECONDS) {
       return;
     }
-    this.#nextAt = nowMilliseconds + MILLISECONDS_IN_SECOND / BUDGET_FOR_SECOND;
+    this.#nextAt = nowMilliseconds + MILLISECONDS_PER_SECOND / MAXIMUM_PROBES_PER_SECOND;
     this.#probedAt.set(target.id, nowMilliseconds);
     void this.#check(target, onSuccess);
   }
 
-  /** Forgets targets that are no longer declared. */
+  /** Removes targets that are no longer declared. */
   retain(isDeclared: (target: model.TargetId) => boolean): void {
     for (const target of [...this.#probedAt.keys()]) {
       if (!isDeclared(target)) {
@@ -53,9 +53,9 @@
   }
 
   async #check(target: model.Target, onSuccess: () => void): Promise<void> {
-    const well = await this.#probe.check(target, this.#stopping.signal);
-    this.#metrics.probes.inc({ result: well ? "well" : "failed" });
-    if (well && !this.#stopping.signal.aborted) {
+    const healthy = await this.#probe.check(target, this.#stopping.signal);
+    this.#metrics.probes.inc({ result: healthy ? "well" : "failed" });
+    if (healthy && !this.#stopping.signal.aborted) {
       onSuccess();
     }
   }
--- a/packages/targets/src/random.ts
+++ b/packages/targets/src/random.ts
@@ -1,10 +1,10 @@
 /**
- * Random numbers from a seed, so that a run can be repeated.
+ * Seeded random numbers, so that a run can be reproduced.
  */
 
 import * as prand from "pure-rand/generator/xoroshiro128plus";
 
-/** Values of a generator's output. */
+/** Number of distinct values that the generator returns. */
 const RANGE = 2 ** 32;
 
 /** A source of random numbers. */
--- a/packages/targets/src/round_robin_strategy.ts
+++ b/packages/targets/src/round_robin_strategy.ts
@@ -1,11 +1,11 @@
 /**
- * Targets in turn. A baseline of the other strategies.
+ * Chooses targets in turn. A baseline for other strategies.
  */
 
 import type * as model from "@hemlockwalk/model";
 import type * as types from "./types.ts";
 
-/** Takes the targets of a service in turn. */
+/** Chooses the targets of a service in turn. */
 export class RoundRobinStrategy implements types.ChoiceStrategy {
   readonly #last = new Map<model.ServiceId, model.TargetId>();
 
--- a/packages/targets/src/service_evaluator.ts
+++ b/packages/targets/src/service_evaluator.ts
@@ -1,40 +1,41 @@
 /**
- * Ejects sick targets of one service above its floor, and lets them return gradually.
+ * Ejects failing targets of one service within the limits of its floor, and returns them to use
+ * after successful trial requests.
  *
- * The coordinator of a service runs one over the evidence of all VMs. Each VM runs another over its
- * own calls, whose verdicts bind this VM only.
+ * The coordinator of a service runs one evaluator on the evidence of all VMs. Each VM runs another
+ * one on its own calls, whose verdicts apply to this VM only.
  */
 
 import type * as model from "@hemlockwalk/model";
-import * as evidences from "./service_evidence.ts";
+import * as serviceEvidence from "./service_evidence.ts";
 import type * as types from "./types.ts";
 
-/** How long a target is out the first time. Each further offence doubles it. */
+/** Duration of the first ejection of a target. Each further one doubles it, up to the longest. */
 const FIRST_EJECTION_MILLISECONDS = 5_000;
 const LONGEST_EJECTION_MILLISECONDS = 300_000;
 
-/** An offence is forgotten after this time in use. */
-const OFFENCE_DECAY_MILLISECONDS = 120_000;
+/** The number of recent ejections decreases by one for each such time since the last one. */
+const EJECTION_COUNT_DECAY_MILLISECONDS = 120_000;
 
-/** Good trial requests that end an ejection: the first number, and more for each offence. */
+/** Successful trial requests that end the first ejection, and more for each further one. */
 const TRIAL_SUCCESSES = 3;
-const TRIAL_SUCCESSES_FOR_OFFENCE = 2;
-const MOST_TRIAL_SUCCESSES = 11;
+const TRIAL_SUCCESSES_PER_EJECTION = 2;
+const MAXIMUM_TRIAL_SUCCESSES = 11;
 
-/** A trial to which no request came ends in the target's return, or it would stay out for ever. */
-const TRIAL_STARVED_MILLISECONDS = 60_000;
+/** A trial without requests for this long returns the target to use, or it might never end. */
+const TRIAL_IDLE_MILLISECONDS = 60_000;
 
-/** Without new bad calls, targets are judged again only after this time. */
-const QUIET_MILLISECONDS = 500;
+/** Without new bad calls, targets are evaluated again only after this time. */
+const IDLE_EVALUATION_MILLISECONDS = 500;
 
-/** A refusal for the same target is told again only after this time. */
+/** An ejection refused by the floor is reported again for the same target only after this time. */
 const REFUSAL_REPEAT_MILLISECONDS = 5_000;
 
-/** A probe that succeeds brings the trial forward to this share of the ejection. */
-const PROBED_SHARE = 0.5;
+/** A successful probe shortens the ejection to this share of its duration. */
+const PROBED_EJECTION_SHARE = 0.5;
 
-/** A target of the service as far as the floor is concerned. */
-export interface JudgedTarget {
+/** A declared target of the service. */
+export interface EvaluatedTarget {
   readonly target: types.ShortId;
   readonly leaving: boolean;
 }
@@ -42,24 +43,24 @@
 /** Why an ejection ended. */
 export type ReturnReason = "trial" | "starved" | "general_failure" | "floor" | "self_suspect";
 
-/** What a judge tells of itself. */
-export interface JudgeEvents {
-  ejected(finding: evidences.Finding): void;
+/** Events of an evaluator. */
+export interface EvaluatorEvents {
+  ejected(finding: serviceEvidence.Finding): void;
   returned(target: types.ShortId, reason: ReturnReason): void;
   trialFailed(target: types.ShortId): void;
   /** An ejection was due, but would have taken the service below its floor. */
   refusedByFloor(target: types.ShortId): void;
 }
 
-/** How a judge works. Tests switch guards off to show that their checks notice. */
-export interface JudgeOptions extends evidences.EvidenceOptions {
-  readonly keepFloor: boolean;
+/** Options of an evaluator. Tests disable its guard to verify that they detect its absence. */
+export interface EvaluatorOptions extends serviceEvidence.EvidenceOptions {
+  readonly enforceFloor: boolean;
 }
 
 interface Ejection {
   readonly target: types.ShortId;
   readonly scope: types.VerdictScope;
-  offences: number;
+  ejectionCount: number;
   state: types.Verdict["state"];
   /** When the state began, or the last trial request was reported. */
   since: number;
@@ -67,31 +68,31 @@
   trialSuccesses: number;
 }
 
-interface Offences {
+interface EjectionCount {
   count: number;
   at: number;
 }
 
-/** Judges the targets of one service. */
-export class ServiceJudge {
-  readonly evidence: evidences.ServiceEvidence;
-  readonly #options: JudgeOptions;
-  readonly #events: JudgeEvents;
-  readonly #offences = new Map<types.ShortId, Offences>();
+/** Evaluates the targets of one service, and decides on their ejection and return. */
+export class ServiceEvaluator {
+  readonly evidence: serviceEvidence.ServiceEvidence;
+  readonly #options: EvaluatorOptions;
+  readonly #events: EvaluatorEvents;
+  readonly #ejectionCounts = new Map<types.ShortId, EjectionCount>();
   readonly #refusedAt = new Map<types.ShortId, number>();
   #ejections: Ejection[] = [];
-  #declared = new Map<types.ShortId, JudgedTarget>();
+  #declared = new Map<types.ShortId, EvaluatedTarget>();
   #allowance = 0;
-  #judgedAt = Number.NEGATIVE_INFINITY;
+  #evaluatedAt = Number.NEGATIVE_INFINITY;
   #version = 0;
 
-  constructor(options: JudgeOptions, events: JudgeEvents) {
+  constructor(options: EvaluatorOptions, events: EvaluatorEvents) {
     this.#options = options;
     this.#events = events;
-    this.evidence = new evidences.ServiceEvidence(options);
+    this.evidence = new serviceEvidence.ServiceEvidence(options);
   }
 
-  /** Grows with each change of the verdicts. */
+  /** Incremented with each change of the verdicts. */
   get version(): number {
     return this.#version;
   }
@@ -101,20 +102,20 @@
     return this.#ejections.length > 0;
   }
 
-  /** Takes over the declared targets and how many of them may be out besides the leaving ones. */
-  declare(targets: readonly JudgedTarget[], allowance: number): void {
+  /** Sets the declared targets, and how many may be out of use in addition to the leaving ones. */
+  setTargets(targets: readonly EvaluatedTarget[], allowance: number): void {
     this.#declared = new Map(targets.map((target) => [target.target, target]));
     this.#allowance = allowance;
     this.evidence.retain(new Set(this.#declared.keys()));
-    for (const history of [this.#offences, this.#refusedAt]) {
+    for (const history of [this.#ejectionCounts, this.#refusedAt]) {
       for (const target of [...history.keys()]) {
         if (!this.#declared.has(target)) {
           history.delete(target);
         }
       }
     }
-    this.#keep((ejection) => this.#declared.get(ejection.target)?.leaving === false);
-    while (this.#options.keepFloor && this.#countLargestOut() > this.#allowance) {
+    this.#retain((ejection) => this.#declared.get(ejection.target)?.leaving === false);
+    while (this.#options.enforceFloor && this.#countMaximumOut() > this.#allowance) {
       const last = this.#ejections.at(-1);
       if (last === undefined) {
         return;
@@ -123,8 +124,8 @@
     }
   }
 
-  /** Takes what calls showed. Calls of a trial decide on the target's return. */
-  report(calls: evidences.ReportedCalls, trial: boolean, nowMilliseconds: number): void {
+  /** Records reported calls. Those of a trial determine whether the target returns to use. */
+  report(calls: serviceEvidence.ReportedCalls, trial: boolean, nowMilliseconds: number): void {
     if (!this.#declared.has(calls.target)) {
       return;
     }
@@ -149,8 +150,8 @@
   }
 
   /**
-   * Takes over an ejection that a VM still holds from an earlier coordinator. Its end is never put
-   * off by this.
+   * Adopts an ejection that a VM still holds from an earlier coordinator. This never extends the
+   * ejection.
    */
   adopt(verdict: types.Verdict, nowMilliseconds: number): void {
     if (!this.#mayEject(verdict.target, verdict.scope)) {
@@ -159,40 +160,43 @@
     this.#ejections.push({
       target: verdict.target,
       scope: verdict.scope,
-      offences: verdict.offences,
+      ejectionCount: verdict.ejectionCount,
       state: verdict.state,
       since: nowMilliseconds,
       until: nowMilliseconds +
         Math.min(verdict.remainingMilliseconds, LONGEST_EJECTION_MILLISECONDS),
       trialSuccesses: 0,
     });
-    this.#offences.set(verdict.target, { count: verdict.offences, at: nowMilliseconds });
+    this.#ejectionCounts.set(verdict.target, { count: verdict.ejectionCount, at: nowMilliseconds });
     this.#version++;
   }
 
-  /** Takes note that a probe succeeded. It only brings the trial by real requests forward. */
-  noteProbeSuccess(target: types.ShortId): void {
+  /** Records a successful probe. This only lets the trial requests begin earlier. */
+  recordProbeSuccess(target: types.ShortId): void {
     for (const ejection of this.#ejections) {
       if (ejection.target === target && ejection.state === "out") {
         const length = ejection.until - ejection.since;
-        ejection.until = Math.min(ejection.until, ejection.since + length * PROBED_SHARE);
+        ejection.until = Math.min(ejection.until, ejection.since + length * PROBED_EJECTION_SHARE);
       }
     }
   }
 
-  /** Ejects what is sick now and starts the trials that are due. */
+  /** Ejects failing targets and starts the trials that are due. */
   evaluate(nowMilliseconds: number): void {
     this.#startTrials(nowMilliseconds);
-    if (!this.evidence.hasNews && nowMilliseconds - this.#judgedAt < QUIET_MILLISECONDS) {
+    if (
+      !this.evidence.hasNewBadCalls &&
+      nowMilliseconds - this.#evaluatedAt < IDLE_EVALUATION_MILLISECONDS
+    ) {
       return;
     }
-    this.#judgedAt = nowMilliseconds;
+    this.#evaluatedAt = nowMilliseconds;
     const inUse = (target: types.ShortId) => this.#isInUse(target);
     if (this.evidence.isGenerallyFailing(inUse, nowMilliseconds)) {
       this.returnAll("general_failure");
       return;
     }
-    for (const finding of this.evidence.findSick(inUse, nowMilliseconds)) {
+    for (const finding of this.evidence.findFailing(inUse, nowMilliseconds)) {
       this.#eject(finding, nowMilliseconds);
     }
   }
@@ -204,7 +208,7 @@
       scope: ejection.scope,
       state: ejection.state,
       remainingMilliseconds: Math.max(0, Math.round(ejection.until - nowMilliseconds)),
-      offences: ejection.offences,
+      ejectionCount: ejection.ejectionCount,
     }));
   }
 
@@ -215,12 +219,12 @@
     }
   }
 
-  /** Forgets the evidence, such as after a pause. Ejections run on. */
-  voidEvidence(): void {
+  /** Discards the evidence, such as after a pause. Ejections remain in force. */
+  discardEvidence(): void {
     this.evidence.clear();
   }
 
-  #classifyTrial(calls: evidences.ReportedCalls): types.EvidenceKind {
+  #classifyTrial(calls: serviceEvidence.ReportedCalls): types.EvidenceKind {
     if (calls.result !== "answered") {
       return calls.result;
     }
@@ -229,18 +233,21 @@
 
   #countSuccess(ejection: Ejection, count: number): void {
     ejection.trialSuccesses += count;
-    const needed = TRIAL_SUCCESSES + TRIAL_SUCCESSES_FOR_OFFENCE * (ejection.offences - 1);
-    if (ejection.trialSuccesses >= Math.min(needed, MOST_TRIAL_SUCCESSES)) {
+    const needed = TRIAL_SUCCESSES + TRIAL_SUCCESSES_PER_EJECTION * (ejection.ejectionCount - 1);
+    if (ejection.trialSuccesses >= Math.min(needed, MAXIMUM_TRIAL_SUCCESSES)) {
       this.#return(ejection, "trial");
     }
   }
 
   #failTrial(ejection: Ejection, nowMilliseconds: number): void {
-    ejection.offences++;
-    this.#offences.set(ejection.target, { count: ejection.offences, at: nowMilliseconds });
+    ejection.ejectionCount++;
+    this.#ejectionCounts.set(ejection.target, {
+      count: ejection.ejectionCount,
+      at: nowMilliseconds,
+    });
     ejection.state = "out";
     ejection.since = nowMilliseconds;
-    ejection.until = nowMilliseconds + getEjectionMilliseconds(ejection.offences);
+    ejection.until = nowMilliseconds + getEjectionMilliseconds(ejection.ejectionCount);
     ejection.trialSuccesses = 0;
     this.#version++;
     this.#events.trialFailed(ejection.target);
@@ -254,44 +261,48 @@
         this.#version++;
       } else if (
         ejection.state === "trial" &&
-        nowMilliseconds - ejection.since >= TRIAL_STARVED_MILLISECONDS
+        nowMilliseconds - ejection.since >= TRIAL_IDLE_MILLISECONDS
       ) {
         this.#return(ejection, "starved");
       }
     }
   }
 
-  #eject(found: evidences.Finding, nowMilliseconds: number): void {
+  #eject(found: serviceEvidence.Finding, nowMilliseconds: number): void {
     const finding = this.#widen(found);
     if (!this.#mayEject(finding.target, finding.scope)) {
-      this.#tellRefusal(finding.target, nowMilliseconds);
+      this.#reportRefusal(finding.target, nowMilliseconds);
       return;
     }
-    // A wider ejection takes the place of narrower ones.
-    this.#keep((ejection) =>
+    // A wider ejection replaces narrower ones.
+    this.#retain((ejection) =>
       ejection.target !== finding.target || !includes(finding.scope, ejection.scope)
     );
-    const offences = this.#countOffence(finding.target, nowMilliseconds);
+    const ejectionCount = this.#incrementEjectionCount(finding.target, nowMilliseconds);
     this.#ejections.push({
       target: finding.target,
       scope: finding.scope,
-      offences,
+      ejectionCount,
       state: "out",
       since: nowMilliseconds,
-      until: nowMilliseconds + getEjectionMilliseconds(offences),
+      until: nowMilliseconds + getEjectionMilliseconds(ejectionCount),
       trialSuccesses: 0,
     });
     if (finding.scope.dataCentre === undefined) {
-      this.evidence.forget(finding.target);
+      this.evidence.discard(finding.target);
     } else {
-      this.evidence.forgetFrom(finding.target, finding.scope.dataCentre);
+      this.evidence.discardFrom(finding.target, finding.scope.dataCentre);
     }
     this.#version++;
     this.#events.ejected(finding);
   }
 
-  /** A second data centre that sees the fault shows the target's own, unless a third does not see it. */
-  #widen(finding: evidences.Finding): evidences.Finding {
+  /**
+   * Widens a finding to all data centres if the target is already ejected for another one: two
+   * affected data centres show a fault of the target itself, unless some data centre is shown to be
+   * unaffected.
+   */
+  #widen(finding: serviceEvidence.Finding): serviceEvidence.Finding {
     const { target, scope, healthyElsewhere } = finding;
     const seenBefore = this.#ejections.some((ejection) =>
       ejection.target === target && ejection.scope.route === scope.route &&
@@ -303,7 +314,7 @@
     return { ...finding, scope: { route: scope.route } };
   }
 
-  #tellRefusal(target: types.ShortId, nowMilliseconds: number): void {
+  #reportRefusal(target: types.ShortId, nowMilliseconds: number): void {
     const last = this.#refusedAt.get(target) ?? Number.NEGATIVE_INFINITY;
     if (nowMilliseconds - last >= REFUSAL_REPEAT_MILLISECONDS) {
       this.#refusedAt.set(target, nowMilliseconds);
@@ -311,13 +322,13 @@
     }
   }
 
-  #countOffence(target: types.ShortId, nowMilliseconds: number): number {
-    const earlier = this.#offences.get(target);
+  #incrementEjectionCount(target: types.ShortId, nowMilliseconds: number): number {
+    const earlier = this.#ejectionCounts.get(target);
     const decayed = earlier === undefined
       ? 0
-      : Math.floor((nowMilliseconds - earlier.at) / OFFENCE_DECAY_MILLISECONDS);
+      : Math.floor((nowMilliseconds - earlier.at) / EJECTION_COUNT_DECAY_MILLISECONDS);
     const count = Math.max(0, (earlier?.count ?? 0) - decayed) + 1;
-    this.#offences.set(target, { count, at: nowMilliseconds });
+    this.#ejectionCounts.set(target, { count, at: nowMilliseconds });
     return count;
   }
 
@@ -325,12 +336,12 @@
     ejection: Ejection,
     reason: ReturnReason,
   ): void {
-    this.#keep((other) => other !== ejection);
-    this.evidence.forget(ejection.target);
+    this.#retain((other) => other !== ejection);
+    this.evidence.discard(ejection.target);
     this.#events.returned(ejection.target, reason);
   }
 
-  #keep(condition: (ejection: Ejection) => boolean): void {
+  #retain(condition: (ejection: Ejection) => boolean): void {
     const kept = this.#ejections.filter(condition);
     if (kept.length !== this.#ejections.length) {
       this.#ejections = kept;
@@ -350,18 +361,19 @@
     if (this.#declared.get(target)?.leaving !== false) {
       return false;
     }
-    // A target that is out for this scope already has evidence on the way from before.
+    // Evidence from before an ejection may still arrive after it.
     const covered = this.#ejections.some((ejection) =>
       ejection.target === target && includes(ejection.scope, scope)
     );
     if (covered) {
       return false;
     }
-    return !this.#options.keepFloor || this.#countLargestOut({ target, scope }) <= this.#allowance;
+    return !this.#options.enforceFloor ||
+      this.#countMaximumOut({ target, scope }) <= this.#allowance;
   }
 
-  /** The most targets that are out from any one data centre, those out for any route included. */
-  #countLargestOut(added?: Pick<Ejection, "target" | "scope">): number {
+  /** Largest number of targets out of use in any data centre, for all routes or only for one. */
+  #countMaximumOut(added?: Pick<Ejection, "target" | "scope">): number {
     const all = added === undefined ? this.#ejections : [...this.#ejections, added];
     const dataCentres = new Set<model.DataCentreId | undefined>(
       all.map((ejection) => ejection.scope.dataCentre),
@@ -396,9 +408,9 @@
     (wider.route === undefined || wider.route === narrower.route);
 }
 
-function getEjectionMilliseconds(offences: number): number {
+function getEjectionMilliseconds(ejectionCount: number): number {
   return Math.min(
-    FIRST_EJECTION_MILLISECONDS * 2 ** (offences - 1),
+    FIRST_EJECTION_MILLISECONDS * 2 ** (ejectionCount - 1),
     LONGEST_EJECTION_MILLISECONDS,
   );
 }
--- a/packages/targets/src/service_evidence.ts
+++ b/packages/targets/src/service_evidence.ts
@@ -1,8 +1,9 @@
 /**
- * Finds sick targets of one service from the calls of one VM or of many.
+ * Detects failing targets of one service from the calls of one VM or of many.
  *
- * A target is judged against the service's other targets that are not clearly sick, over several windows.
- * Overload and faults that all targets share therefore raise the expected share and find nobody.
+ * This is outlier detection: over several windows, a target is compared with the service's other
+ * targets that are not clearly failing. Overload and faults that affect all targets raise the
+ * expected share of bad calls, so that no target is found to be failing because of them.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -13,59 +14,61 @@
 import * as statistics from "./statistics.ts";
 import type * as types from "./types.ts";
 
-/** A call is slow when it takes this many times the route's median and the slack besides. */
+/** A call is slow above the median of its route times this factor, plus this margin. */
 const SLOW_FACTOR = 4;
-const SLOW_SLACK_MILLISECONDS = 10;
+const SLOW_MARGIN_MILLISECONDS = 10;
 
-/** Calls needed before a median is believed. */
-const LEAST_MEDIAN_CALLS = 20;
+/** Calls required before a median is used to classify calls. */
+const MINIMUM_MEDIAN_CALLS = 20;
 
-/** Calls needed before a median is believed to tell how long is very long. */
-const LEAST_ROUGH_MEDIAN_CALLS = 4;
+/** Calls required before a median is used as a rough bound for calls of any route. */
+const MINIMUM_ROUGH_MEDIAN_CALLS = 4;
 
 const FAULT_KINDS = ["broken", "failed", "slow"] as const;
 
-/** Shares of bad calls below which a target is not worth an ejection. */
-const MATERIAL_SHARES = { broken: 0.1, failed: 0.1, slow: 0.4 } as const;
+/** A target is not ejected for a smaller share of bad calls. */
+const MINIMUM_EJECTION_SHARES = { broken: 0.1, failed: 0.1, slow: 0.4 } as const;
 
-/** A share of one route's calls below which the route is not worth avoiding there. */
-const MATERIAL_ROUTE_SHARE = 0.25;
+/** A target is not ejected for one route for a smaller share of bad calls on that route. */
+const MINIMUM_ROUTE_EJECTION_SHARE = 0.25;
 
-/** The share of the other targets that may be bad as well. */
+/** If this share of the other targets is failing too, the cause is assumed to be shared. */
 const SHARED_CAUSE_SHARE = 0.5;
 
-/** Counts by route begin with a bad call, which this much more evidence makes up for. */
-const FIRST_CALL_NATS = 5;
+/** The counts by route begin with a bad call. This additional evidence compensates for the bias. */
+const FIRST_CALL_BIAS_NATS = 5;
 
-/** When most calls of all targets fail, no target is sicker than the others. */
+/** When most calls to all targets fail, no target stands out, and none is ejected. */
 const GENERAL_FAILURE_SHARE = 0.5;
-const GENERAL_FAILURE_LEAST_CALLS = 8;
+const GENERAL_FAILURE_MINIMUM_CALLS = 8;
 const GENERAL_FAILURE_WINDOW_MILLISECONDS = 8_000;
 
-/** How sure and how widely supported a finding must be. */
+/** How much evidence a finding requires, and from how many sources. */
 export interface EvidenceOptions {
-  /** Evidence, in nats, for a finding. */
+  /** Evidence, in nats, that a finding requires. */
   readonly nats: number;
-  /** How many VMs must each have seen a bad call. */
-  readonly getLeastSources: () => number;
-  /** Other targets that must have been called since the first bad call, to clear the observer. */
-  readonly leastPeers: number;
-  /** Whether sources in several data centres are told apart. */
-  readonly separatesPaths: () => boolean;
+  /** Number of VMs that must each have observed a bad call. */
+  readonly getMinimumSources: () => number;
+  /**
+   * Other targets that must have been called since the first bad call, to rule out a local fault.
+   */
+  readonly minimumPeers: number;
+  /** Whether data centres are compared, to distinguish a path fault from a fault of the target. */
+  readonly comparesDataCentres: () => boolean;
 }
 
-/** A target that is sick, as seen from somewhere. */
+/** A failing target, and the scope in which it fails. */
 export interface Finding {
   readonly target: types.ShortId;
   readonly scope: types.VerdictScope;
   readonly kind: types.FaultKind;
-  /** Nats against the target's being like the others. */
+  /** Evidence, in nats, that the target differs from the others. */
   readonly evidence: number;
-  /** Whether some data centre has shown that it does not see the fault. */
+  /** Whether the calls of some data centre show that it is not affected by the fault. */
   readonly healthyElsewhere: boolean;
 }
 
-/** One report of calls to one target, as it comes from a VM. */
+/** Calls of one kind to one target, as reported by a VM. */
 export interface ReportedCalls {
   readonly vm: model.VmId;
   readonly dataCentre: model.DataCentreId;
@@ -75,28 +78,28 @@
   /** Bucket of the latency of an answered call. */
   readonly bucket: number;
   readonly count: number;
-  /** Whether the target stands in the data centre of the VM. */
+  /** Whether the target is in the data centre of the VM. */
   readonly near: boolean;
 }
 
-/** What recent calls showed of the targets of one service. */
+/** Evidence from the recent calls to the targets of one service. */
 export class ServiceEvidence {
   readonly #options: EvidenceOptions;
   readonly #targets = new Map<types.ShortId, windows.EvidenceWindow>();
-  readonly #references = new Map<string, latencies.RecentLatencies>();
-  readonly #suspicious = new Set<types.ShortId>();
-  #news = false;
+  readonly #referenceLatencies = new Map<string, latencies.LatencyHistogram>();
+  readonly #targetsWithBadCalls = new Set<types.ShortId>();
+  #hasNewBadCalls = false;
 
   constructor(options: EvidenceOptions) {
     this.#options = options;
   }
 
-  /** Whether calls went badly since the targets were last judged. */
-  get hasNews(): boolean {
-    return this.#news;
+  /** Whether there were bad calls since the targets were last evaluated. */
+  get hasNewBadCalls(): boolean {
+    return this.#hasNewBadCalls;
   }
 
-  /** Adds calls and tells how they count. */
+  /** Adds calls, and returns what they count as. */
   add(reported: ReportedCalls, nowMilliseconds: number): types.EvidenceKind {
     const kind = this.#classify(reported, nowMilliseconds);
     let window = this.#targets.get(reported.target);
@@ -106,70 +109,72 @@
     }
     window.add({ ...reported, kind }, nowMilliseconds);
     if (windows.isFault(kind)) {
-      this.#suspicious.add(reported.target);
-      this.#news = true;
+      this.#targetsWithBadCalls.add(reported.target);
+      this.#hasNewBadCalls = true;
     }
     return kind;
   }
 
-  /** Forgets what calls to a target showed, such as when it returns. */
-  forget(target: types.ShortId): void {
+  /** Discards the evidence on a target, such as when it returns to use. */
+  discard(target: types.ShortId): void {
     this.#targets.delete(target);
-    this.#suspicious.delete(target);
+    this.#targetsWithBadCalls.delete(target);
   }
 
-  /** Forgets what calls from one data centre to a target showed. */
-  forgetFrom(target: types.ShortId, dataCentre: model.DataCentreId): void {
-    this.#targets.get(target)?.forgetFrom(dataCentre);
+  /** Discards the evidence on a target that comes from one data centre. */
+  discardFrom(target: types.ShortId, dataCentre: model.DataCentreId): void {
+    this.#targets.get(target)?.discardFrom(dataCentre);
   }
 
-  /** Forgets all targets but the given ones. */
+  /** Discards the evidence on all targets but the given ones. */
   retain(declared: ReadonlySet<types.ShortId>): void {
     for (const target of [...this.#targets.keys()]) {
       if (!declared.has(target)) {
-        this.forget(target);
+        this.discard(target);
       }
     }
   }
 
-  /** Forgets everything, such as after a pause. */
+  /** Discards all evidence, such as after a pause. */
   clear(): void {
     this.#targets.clear();
-    this.#references.clear();
-    this.#suspicious.clear();
+    this.#referenceLatencies.clear();
+    this.#targetsWithBadCalls.clear();
   }
 
-  /** The latency from which on a call of the route counts as slow; undefined while unknown. */
+  /** Latency above which a call of the route counts as slow; undefined with too few calls. */
   getSlowMilliseconds(route: types.ShortId, near: boolean): number | undefined {
-    const median = this.#references.get(`${route} ${near}`)?.getMedian(LEAST_MEDIAN_CALLS);
-    return median === undefined ? undefined : median * SLOW_FACTOR + SLOW_SLACK_MILLISECONDS;
+    const median = this.#referenceLatencies.get(`${route} ${near}`)?.getMedian(
+      MINIMUM_MEDIAN_CALLS,
+    );
+    return median === undefined ? undefined : median * SLOW_FACTOR + SLOW_MARGIN_MILLISECONDS;
   }
 
-  /** The longest latency from which on calls of any route count as slow; undefined while unknown. */
+  /** Latency above which a call counts as slow on every route; undefined with too few calls. */
   getSlowestMilliseconds(): number | undefined {
     let slowest: number | undefined;
-    for (const reference of this.#references.values()) {
-      const median = reference.getMedian(LEAST_ROUGH_MEDIAN_CALLS);
+    for (const reference of this.#referenceLatencies.values()) {
+      const median = reference.getMedian(MINIMUM_ROUGH_MEDIAN_CALLS);
       if (median !== undefined) {
-        const slow = median * SLOW_FACTOR + SLOW_SLACK_MILLISECONDS;
+        const slow = median * SLOW_FACTOR + SLOW_MARGIN_MILLISECONDS;
         slowest = Math.max(slowest ?? 0, slow);
       }
     }
     return slowest;
   }
 
-  /** Whether calls were slow, by what is known of the route. */
+  /** Whether calls were slow compared with earlier calls of the route. */
   isSlow(reported: ReportedCalls): boolean {
     const slow = this.getSlowMilliseconds(reported.route, reported.near);
     return slow !== undefined && latencies.getBucketMilliseconds(reported.bucket) > slow;
   }
 
-  /** Whether most calls to the targets in use fail, so that none is worth ejecting. */
+  /** Whether most calls to the targets in use fail, so that no target should be ejected. */
   isGenerallyFailing(
     inUse: (target: types.ShortId) => boolean,
     nowMilliseconds: number,
   ): boolean {
-    if (this.#suspicious.size === 0) {
+    if (this.#targetsWithBadCalls.size === 0) {
       return false;
     }
     const sum = windows.createCounts();
@@ -179,21 +184,22 @@
         windows.addCounts(sum, window.countSince(since));
       }
     }
-    return sum.calls >= GENERAL_FAILURE_LEAST_CALLS &&
+    return sum.calls >= GENERAL_FAILURE_MINIMUM_CALLS &&
       sum.failed >= sum.calls * GENERAL_FAILURE_SHARE;
   }
 
   /**
-   * Finds the targets that are sick now, those with the most evidence first.
+   * Finds the failing targets, those with the most evidence first.
    *
-   * @param inUse Tells which targets get ordinary requests. Others are neither judged nor compared.
+   * @param inUse Whether a target gets ordinary requests. Others are neither evaluated nor compared
+   * with.
    */
-  findSick(
+  findFailing(
     inUse: (target: types.ShortId) => boolean,
     nowMilliseconds: number,
   ): Finding[] {
-    this.#news = false;
-    if (this.#suspicious.size === 0) {
+    this.#hasNewBadCalls = false;
+    if (this.#targetsWithBadCalls.size === 0) {
       return [];
     }
     const totals = new Map<types.ShortId, windows.CallCounts[]>();
@@ -203,14 +209,14 @@
       }
     }
     const findings: Finding[] = [];
-    for (const target of this.#suspicious) {
+    for (const target of this.#targetsWithBadCalls) {
       const own = totals.get(target);
-      const finding = own && this.#judge(target, own, totals, nowMilliseconds);
+      const finding = own && this.#evaluateTarget(target, own, totals, nowMilliseconds);
       if (finding !== undefined) {
         findings.push(finding);
       }
       if (own === undefined || !own.some((counts) => counts.failed + counts.slow > 0)) {
-        this.#suspicious.delete(target);
+        this.#targetsWithBadCalls.delete(target);
       }
     }
     return findings.sort((left, right) => right.evidence - left.evidence);
@@ -222,23 +228,23 @@
     }
     const slow = this.isSlow(reported);
     const name = `${reported.route} ${reported.near}`;
-    let reference = this.#references.get(name);
+    let reference = this.#referenceLatencies.get(name);
     if (reference === undefined) {
-      reference = new latencies.RecentLatencies(nowMilliseconds);
-      this.#references.set(name, reference);
+      reference = new latencies.LatencyHistogram(nowMilliseconds);
+      this.#referenceLatencies.set(name, reference);
     }
     reference.add(reported.bucket, reported.count, nowMilliseconds);
     return slow ? "slow" : "good";
   }
 
-  #judge(
+  #evaluateTarget(
     target: types.ShortId,
     own: readonly windows.CallCounts[],
     totals: ReadonlyMap<types.ShortId, readonly windows.CallCounts[]>,
     nowMilliseconds: number,
   ): Finding | undefined {
     const longest = windows.WINDOWS_MILLISECONDS.length - 1;
-    const longPeers = comparisons.listPeerCounts(target, totals, longest);
+    const longTermPeers = comparisons.listPeerCounts(target, totals, longest);
     for (const kind of FAULT_KINDS) {
       for (let index = 0; index < windows.WINDOWS_MILLISECONDS.length; index++) {
         const counts = own[index];
@@ -250,11 +256,18 @@
         if (overloaded) {
           continue;
         }
-        if (!this.#arePeersWell(target, kind, index, totals.keys(), nowMilliseconds)) {
+        if (!this.#arePeersHealthy(target, kind, index, totals.keys(), nowMilliseconds)) {
           break;
         }
-        const expected = comparisons.getExpectedShare(kind, peers, longPeers);
-        const finding = this.#judgeWindow(target, kind, counts, index, expected, nowMilliseconds);
+        const expected = comparisons.getExpectedShare(kind, peers, longTermPeers);
+        const finding = this.#evaluateWindow(
+          target,
+          kind,
+          counts,
+          index,
+          expected,
+          nowMilliseconds,
+        );
         if (finding !== undefined) {
           return finding;
         }
@@ -263,16 +276,21 @@
     return undefined;
   }
 
-  /** Whether so many bad calls could be a finding at all, if there were no good ones. */
+  /** Whether this number of bad calls could be a finding if there were no good calls. */
   #canSuffice(kind: types.FaultKind, bad: number): boolean {
-    return statistics.isAboveShare(bad, bad, comparisons.LEAST_SHARES[kind], this.#options.nats);
+    return statistics.isAboveShare(
+      bad,
+      bad,
+      comparisons.MINIMUM_EXPECTED_SHARES[kind],
+      this.#options.nats,
+    );
   }
 
   /**
-   * Whether most other targets are well since the first bad call. Otherwise the cause is shared, and
-   * may be the observer itself.
+   * Whether most other targets have been healthy since the first bad call. Otherwise the cause is
+   * shared, and may be a fault of the observing VM.
    */
-  #arePeersWell(
+  #arePeersHealthy(
     target: types.ShortId,
     kind: types.FaultKind,
     index: number,
@@ -289,14 +307,14 @@
       const counts = this.#targets.get(other)?.countSince(first ?? nowMilliseconds);
       if (other !== target && counts !== undefined && counts.calls > 0) {
         called++;
-        bad += comparisons.isBad(kind, counts) ? 1 : 0;
+        bad += comparisons.isFailing(kind, counts) ? 1 : 0;
       }
     }
-    const leastPeers = Math.min(this.#options.leastPeers, others);
-    return called >= leastPeers && (bad === 0 || bad < called * SHARED_CAUSE_SHARE);
+    const minimumPeers = Math.min(this.#options.minimumPeers, others);
+    return called >= minimumPeers && (bad === 0 || bad < called * SHARED_CAUSE_SHARE);
   }
 
-  #judgeWindow(
+  #evaluateWindow(
     target: types.ShortId,
     kind: types.FaultKind,
     counts: windows.CallCounts,
@@ -304,33 +322,33 @@
     expected: number,
     nowMilliseconds: number,
   ): Finding | undefined {
-    const { nats, getLeastSources, separatesPaths } = this.#options;
+    const { nats, getMinimumSources, comparesDataCentres } = this.#options;
     const length = windows.WINDOWS_MILLISECONDS[index] ?? 0;
     // No part of the calls can hold more evidence than if all bad calls were alone in it.
     if (!statistics.isAboveShare(counts[kind], counts[kind], expected, nats)) {
       return undefined;
     }
     const details = this.#targets.get(target)?.getDetails(kind, length, nowMilliseconds);
-    if (details === undefined || details.sources.size < getLeastSources()) {
+    if (details === undefined || details.sources.size < getMinimumSources()) {
       return undefined;
     }
-    const whole = counts[kind] >= counts.calls * MATERIAL_SHARES[kind] &&
+    const isTargetFailing = counts[kind] >= counts.calls * MINIMUM_EJECTION_SHARES[kind] &&
       statistics.isAboveShare(counts[kind], counts.calls, expected, nats);
     const evidence = statistics.getEvidence(counts[kind], counts.calls, expected);
     const route = scopes.findFaultyRoute(
       details.byRoute,
       kind,
       expected,
-      nats + FIRST_CALL_NATS,
-      MATERIAL_ROUTE_SHARE,
+      nats + FIRST_CALL_BIAS_NATS,
+      MINIMUM_ROUTE_EJECTION_SHARE,
     );
-    if (!whole && route === undefined) {
+    if (!isTargetFailing && route === undefined) {
       return undefined;
     }
-    const path: scopes.PathFinding = separatesPaths()
+    const path: scopes.PathFinding = comparesDataCentres()
       ? scopes.findFaultyPath(details.byDataCentre, kind, expected)
-      : { spread: true, healthyElsewhere: false };
-    const dataCentre = path.spread ? undefined : path.dataCentre;
+      : { isTargetFault: true, healthyElsewhere: false };
+    const dataCentre = path.isTargetFault ? undefined : path.dataCentre;
     const { healthyElsewhere } = path;
     return { target, scope: { route, dataCentre }, kind, evidence, healthyElsewhere };
   }
--- a/packages/targets/src/service_pool.ts
+++ b/packages/targets/src/service_pool.ts
@@ -1,5 +1,6 @@
 /**
- * The targets of one service on one VM: choice, running requests, and what they show.
+ * The pool of one service on one VM: chooses targets, tracks running requests and collects
+ * evidence.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
@@ -13,9 +14,9 @@
 import * as intervals from "./evidence_intervals.ts";
 import * as messages from "./messages.ts";
 import type * as poolMetrics from "./pool_metrics.ts";
-import type * as pools from "./pool_options.ts";
-import type * as selfSuspicion from "./local_fault_detector.ts";
-import * as slotBooks from "./slot_admission.ts";
+import type * as poolOptions from "./pool_options.ts";
+import type * as detectors from "./local_fault_detector.ts";
+import * as slotAdmissions from "./slot_admission.ts";
 import * as states from "./target_state.ts";
 import * as subsets from "./target_subset.ts";
 import type * as types from "./types.ts";
@@ -23,39 +24,39 @@
 /** Shortest time between two trial requests of this VM to one target. */
 const TRIAL_GAP_MILLISECONDS = 250;
 
-/** A load below this is not reported. */
-const LEAST_REPORTED_LOAD = 0.01;
+/** A lower load is not reported. */
+const MINIMUM_REPORTED_LOAD = 0.01;
 
-/** What a service's pool needs from its VM. */
+/** Services and options that the pools of a VM share. */
 export interface ServicePoolContext {
   readonly self: fleet.VmIdentity;
   readonly strategy: types.ChoiceStrategy;
   readonly metrics: poolMetrics.PoolMetrics;
-  readonly guards: pools.Guards;
+  readonly guards: poolOptions.Guards;
   readonly detection: boolean;
-  readonly suspicion: selfSuspicion.SelfSuspicion;
+  readonly localFaults: detectors.LocalFaultDetector;
   readonly pauses: types.PauseSource | undefined;
   readonly exchange: exchanges.EvidenceExchange | undefined;
   readonly onCapacity: (service: model.ServiceId) => void;
 }
 
-/** One service on one VM. */
+/** The target pool of one service. */
 export class ServicePool {
   readonly #context: ServicePoolContext;
-  readonly #slots: slotBooks.SlotBook;
+  readonly #slots: slotAdmissions.SlotAdmission;
   readonly #calls: callEvidence.CallEvidence;
   readonly #states = new Map<types.ShortId, states.TargetState>();
-  readonly #triedAt = new Map<types.ShortId, number>();
+  readonly #lastTrialAt = new Map<types.ShortId, number>();
   readonly #routes = new Map<model.RouteId, types.ShortId>();
   #service: model.Service;
   #declared: readonly exclusions.DeclaredTarget[] = [];
-  #loadsUntil = Number.NEGATIVE_INFINITY;
-  #outBefore: ReadonlySet<types.ShortId> = new Set();
+  #loadsValidUntil = Number.NEGATIVE_INFINITY;
+  #previouslyOut: ReadonlySet<types.ShortId> = new Set();
 
   constructor(context: ServicePoolContext, service: model.Service, nowMilliseconds: number) {
     this.#context = context;
     this.#service = service;
-    this.#slots = new slotBooks.SlotBook(context.self);
+    this.#slots = new slotAdmissions.SlotAdmission(context.self);
     this.#calls = new callEvidence.CallEvidence(
       context,
       service.id,
@@ -64,21 +65,21 @@
     );
   }
 
-  /** Takes over a new configuration. */
+  /** Applies a new configuration. */
   update(
     service: model.Service,
     snapshot: configuration.Snapshot,
-    first: boolean,
+    isInitial: boolean,
     nowMilliseconds: number,
   ): void {
     const { vmLimit } = snapshot.fleet;
     this.#service = service;
-    const all = snapshot.listTargets(service.id);
+    const allTargets = snapshot.listTargets(service.id);
     const share = subsets.getConnectionShare(service.connections, vmLimit);
-    this.#slots.declare(all, service.slots, Math.min(service.slots, share));
+    this.#slots.setTargets(allTargets, service.slots, Math.min(service.slots, share));
     const targets = subsets.selectSubset(
       this.#context.self.vm,
-      all,
+      allTargets,
       service.connections,
       vmLimit,
     );
@@ -86,25 +87,25 @@
       target,
       shortId: messages.createShortId(target.id),
     }));
-    const known = new Set(this.#declared.map(({ shortId }) => shortId));
+    const declaredIds = new Set(this.#declared.map(({ shortId }) => shortId));
     for (const shortId of [...this.#states.keys()]) {
-      if (!known.has(shortId)) {
+      if (!declaredIds.has(shortId)) {
         this.#states.delete(shortId);
-        this.#triedAt.delete(shortId);
+        this.#lastTrialAt.delete(shortId);
       }
     }
-    for (const shortId of known) {
+    for (const shortId of declaredIds) {
       if (!this.#states.has(shortId)) {
-        this.#states.set(shortId, new states.TargetState(!first, nowMilliseconds));
+        this.#states.set(shortId, new states.TargetState(!isInitial, nowMilliseconds));
       }
     }
-    this.#calls.judge.declare(
+    this.#calls.evaluator.setTargets(
       this.#declared.map(({ target, shortId }) => ({ target: shortId, leaving: target.leaving })),
       floors.getAllowance(targets, service.floor),
     );
   }
 
-  /** A slot on a target; undefined while none is free. */
+  /** Acquires a slot on a target; undefined while none is free. */
   tryAcquire(request: types.TargetRequest, nowMilliseconds: number): types.TargetLease | undefined {
     const route = this.#getRoute(request.route);
     const selection = this.select(route, nowMilliseconds);
@@ -112,23 +113,23 @@
       ? this.#chooseTrial(selection, request.exclude, nowMilliseconds)
       : undefined;
     if (trial !== undefined) {
-      this.#triedAt.set(trial.shortId, nowMilliseconds);
+      this.#lastTrialAt.set(trial.shortId, nowMilliseconds);
       this.#context.metrics.trialRequests.inc();
       return this.#begin(trial, route, true, nowMilliseconds);
     }
-    this.#slots.deal(this.#context.exchange?.listMembers() ?? NO_MEMBERS);
-    const byTarget = new Map<types.Candidate, exclusions.DeclaredTarget>();
+    this.#slots.updateAllocation(this.#context.exchange?.listMembers() ?? NO_MEMBERS);
+    const byCandidate = new Map<types.Candidate, exclusions.DeclaredTarget>();
     for (const declared of selection.inUse) {
       const candidate = this.#createCandidate(declared, nowMilliseconds);
       if (
         !request.exclude.has(declared.target.id) &&
         this.#slots.hasSlot(candidate, this.#calls.running)
       ) {
-        byTarget.set(candidate, declared);
+        byCandidate.set(candidate, declared);
       }
     }
-    const chosen = this.#context.strategy.choose(this.#service.id, [...byTarget.keys()]);
-    const declared = chosen && byTarget.get(chosen);
+    const chosen = this.#context.strategy.choose(this.#service.id, [...byCandidate.keys()]);
+    const declared = chosen && byCandidate.get(chosen);
     if (declared === undefined) {
       this.#context.metrics.noSlot.inc();
       return undefined;
@@ -141,7 +142,7 @@
     return this.#calls.running;
   }
 
-  /** Sorts the targets by what may be sent to them for a route. */
+  /** Classifies the targets by the requests of a route that may be sent to them. */
   select(route: types.ShortId, nowMilliseconds: number): exclusions.TargetSelection {
     const held = this.#context.exchange?.getCurrent(this.#service.id, nowMilliseconds);
     return exclusions.selectTargets({
@@ -149,50 +150,50 @@
       floor: this.#service.floor,
       verdicts: held?.verdicts ?? [],
       mayTry: held?.mayTry ?? false,
-      ownVerdicts: this.#calls.judge.listVerdicts(nowMilliseconds),
+      ownVerdicts: this.#calls.evaluator.listVerdicts(nowMilliseconds),
       dataCentre: this.#context.self.dataCentre,
       route,
-      keepFloor: this.#context.guards.floor,
+      enforceFloor: this.#context.guards.floor,
     });
   }
 
-  /** Takes over the loads that a coordinator reports. */
-  noteLoads(loads: readonly messages.TargetLoad[], nowMilliseconds: number): void {
+  /** Applies the loads reported by a coordinator. */
+  applyLoads(loads: readonly messages.TargetLoad[], nowMilliseconds: number): void {
     const members = this.#context.exchange?.members ?? 1;
-    this.#loadsUntil = nowMilliseconds + intervals.getVerdictLifetime(members);
+    this.#loadsValidUntil = nowMilliseconds + intervals.getVerdictLifetime(members);
     const reported = new Map(loads.map(({ target, running }) => [target, running]));
     for (const [shortId, state] of this.#states) {
       state.reportedLoad = reported.get(shortId) ?? 0;
     }
-    // Requests that wait may now borrow slots.
+    // Queued requests may now be able to borrow slots.
     this.#context.onCapacity(this.#service.id);
   }
 
-  /** Does what is due. */
+  /** Performs the work that is due. */
   tick(nowMilliseconds: number): void {
     if (!this.#context.detection) {
       return;
     }
-    this.#calls.judgeTargets(nowMilliseconds);
-    this.#noteReturns(nowMilliseconds);
-    this.#noteSilence(nowMilliseconds);
+    this.#calls.evaluateTargets(nowMilliseconds);
+    this.#rampReturnedTargets(nowMilliseconds);
+    this.#expireLoads(nowMilliseconds);
     this.#calls.sendDigest(nowMilliseconds);
   }
 
-  /** Voids what was collected, such as after a pause. */
-  voidEvidence(): void {
-    this.#calls.voidEvidence();
+  /** Discards the collected evidence, such as after a pause. */
+  discardEvidence(): void {
+    this.#calls.discardEvidence();
   }
 
-  /** Targets out of use that no request may try yet, so that only a probe can tell something. */
-  listProbed(nowMilliseconds: number): readonly exclusions.DeclaredTarget[] {
+  /** The targets that are out of use, for which probes may be sent. */
+  listOutOfUse(nowMilliseconds: number): readonly exclusions.DeclaredTarget[] {
     const selection = this.select(NO_ROUTE, nowMilliseconds);
     return this.#declared.filter(({ shortId }) => selection.out.has(shortId));
   }
 
-  /** Takes note that a probe of a target out of use succeeded. */
-  noteProbeSuccess(target: types.ShortId): void {
-    this.#calls.noteProbeSuccess(target);
+  /** Records a successful probe of a target that is out of use. */
+  recordProbeSuccess(target: types.ShortId): void {
+    this.#calls.recordProbeSuccess(target);
   }
 
   #chooseTrial(
@@ -201,9 +202,9 @@
     nowMilliseconds: number,
   ): exclusions.DeclaredTarget | undefined {
     return selection.trials.find(({ target, shortId }) => {
-      const triedAt = this.#triedAt.get(shortId) ?? Number.NEGATIVE_INFINITY;
+      const lastTrialAt = this.#lastTrialAt.get(shortId) ?? Number.NEGATIVE_INFINITY;
       return !exclude.has(target.id) && this.#getState(shortId).running === 0 &&
-        nowMilliseconds - triedAt >= TRIAL_GAP_MILLISECONDS;
+        nowMilliseconds - lastTrialAt >= TRIAL_GAP_MILLISECONDS;
     });
   }
 
@@ -239,31 +240,33 @@
     });
   }
 
-  /** Targets that came back into use get little at first. */
-  #noteReturns(nowMilliseconds: number): void {
-    if (this.#outBefore.size === 0 && !this.#hasVerdicts(nowMilliseconds)) {
+  /** Starts targets that have returned to use with a small share. */
+  #rampReturnedTargets(nowMilliseconds: number): void {
+    if (this.#previouslyOut.size === 0 && !this.#hasVerdicts(nowMilliseconds)) {
       return;
     }
     const { out } = this.select(NO_ROUTE, nowMilliseconds);
     let returned = false;
-    for (const shortId of this.#outBefore) {
+    for (const shortId of this.#previouslyOut) {
       if (!out.has(shortId)) {
         this.#states.get(shortId)?.startRamp(nowMilliseconds);
         returned = true;
       }
     }
-    this.#outBefore = out;
+    this.#previouslyOut = out;
     if (returned) {
       this.#context.onCapacity(this.#service.id);
     }
   }
 
-  /** Loads of a coordinator that is not heard any more are forgotten. */
-  #noteSilence(nowMilliseconds: number): void {
-    if (this.#loadsUntil > nowMilliseconds || this.#loadsUntil === Number.NEGATIVE_INFINITY) {
+  /** Discards the reported loads if the coordinator has not renewed them in time. */
+  #expireLoads(nowMilliseconds: number): void {
+    if (
+      this.#loadsValidUntil > nowMilliseconds || this.#loadsValidUntil === Number.NEGATIVE_INFINITY
+    ) {
       return;
     }
-    this.#loadsUntil = Number.NEGATIVE_INFINITY;
+    this.#loadsValidUntil = Number.NEGATIVE_INFINITY;
     for (const state of this.#states.values()) {
       state.reportedLoad = 0;
     }
@@ -272,7 +275,7 @@
 
   #hasVerdicts(nowMilliseconds: number): boolean {
     const held = this.#context.exchange?.getCurrent(this.#service.id, nowMilliseconds);
-    return this.#calls.judge.hasVerdicts || (held?.verdicts.length ?? 0) > 0;
+    return this.#calls.evaluator.hasVerdicts || (held?.verdicts.length ?? 0) > 0;
   }
 
   #takeLoads(nowMilliseconds: number): messages.TargetLoad[] {
@@ -281,7 +284,7 @@
     for (const [target, state] of this.#states) {
       const running = state.takeAverageLoad(interval, nowMilliseconds);
       state.ownReportedLoad = running;
-      if (running >= LEAST_REPORTED_LOAD) {
+      if (running >= MINIMUM_REPORTED_LOAD) {
         loads.push({ target, running });
       }
     }
@@ -304,5 +307,5 @@
 
 const NO_MEMBERS: readonly fleet.Member[] = [];
 
-/** Matches no route, so that only verdicts on whole targets apply. */
+/** Matches no route, so that only verdicts for all routes apply. */
 const NO_ROUTE = 0 as types.ShortId;
--- a/packages/targets/src/slot_admission.ts
+++ b/packages/targets/src/slot_admission.ts
@@ -1,49 +1,49 @@
 /**
- * Which targets of a service this VM may start a request on, by their slots.
+ * Decides, by the slots of a service's targets, on which of them this VM may start a request.
  */
 
 import type * as fleet from "@hemlockwalk/fleet";
 import type * as model from "@hemlockwalk/model";
-import * as slotShares from "./slot_allocation.ts";
+import * as slotAllocations from "./slot_allocation.ts";
 import type * as types from "./types.ts";
 
-/** A slot of another VM may be borrowed while the target's reported load is below this share. */
+/** Slots of other VMs may be borrowed up to this share of the target's slots. */
 const BORROW_UTILISATION = 0.75;
 
-/** The slots of one service as seen by one VM. */
-export class SlotBook {
+/** The slots of one service that one VM may use. */
+export class SlotAdmission {
   readonly #self: fleet.VmIdentity;
   #targets: readonly model.Target[] = [];
   #slots = 1;
   #callLimit = 1;
   #ownSlots: ReadonlyMap<model.TargetId, number> = new Map();
-  #dealtFor: readonly fleet.Member[] | undefined;
+  #allocatedFor: readonly fleet.Member[] | undefined;
 
   constructor(self: fleet.VmIdentity) {
     this.#self = self;
   }
 
   /**
-   * Takes over a new configuration.
+   * Applies a new configuration.
    *
-   * @param targets All targets of the service, those that this VM does not use included.
-   * @param callLimit Requests that this VM may run on one target at the most.
+   * @param targets All targets of the service, including those that this VM does not use.
+   * @param callLimit Maximum number of requests that this VM may run on one target.
    */
-  declare(targets: readonly model.Target[], slots: number, callLimit: number): void {
+  setTargets(targets: readonly model.Target[], slots: number, callLimit: number): void {
     this.#targets = targets;
     this.#slots = slots;
     this.#callLimit = callLimit;
-    this.#dealtFor = undefined;
+    this.#allocatedFor = undefined;
   }
 
-  /** Deals the slots again when the fleet or the targets have changed. */
-  deal(members: readonly fleet.Member[]): void {
-    if (members === this.#dealtFor) {
+  /** Allocates the slots again if the fleet or the targets have changed. */
+  updateAllocation(members: readonly fleet.Member[]): void {
+    if (members === this.#allocatedFor) {
       return;
     }
-    this.#dealtFor = members;
+    this.#allocatedFor = members;
     const staying = members.filter((member) => member.state !== "leaving");
-    this.#ownSlots = slotShares.dealSlots(
+    this.#ownSlots = slotAllocations.allocateSlots(
       this.#self.vm,
       staying.length > 0 ? staying : [this.#self],
       this.#targets,
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Whether a request may start on a target: in a slot of this VM, or in one of another VM while the
-   * target is little loaded. A VM without any slot may always run one request.
+   * Whether a request may start on a target: in a slot of this VM, or in a slot of another VM while
+   * the load of the target is low. A VM without any slot may always run one request.
    *
    * @param runningRequests Requests of this VM that run on any target of the service.
    */
--- a/packages/targets/src/slot_allocation.ts
+++ b/packages/targets/src/slot_allocation.ts
@@ -1,38 +1,39 @@
 /**
- * Which slots of a service's targets belong to this VM.
+ * Allocates the slots of a service's targets to VMs.
  *
- * The slots are dealt out to the VMs in turn, those of a data centre to its own VMs where each data
- * centre with VMs has targets. VMs with the same view of the fleet deal alike, without a message, so
- * that requests in own slots never add up to more than a target's slots.
+ * The slots are allocated to the VMs in turn. If every data centre with VMs has targets, the slots
+ * of a data centre go to its own VMs. VMs with the same view of the fleet compute the same
+ * allocation without exchanging messages, so that the requests in own slots never exceed the slots
+ * of a target.
  */
 
 import type * as fleet from "@hemlockwalk/fleet";
 import type * as model from "@hemlockwalk/model";
 
-/** Who is dealt slots. */
+/** A VM to which slots are allocated. */
 export type SlotHolder = Pick<fleet.Member, "vm" | "dataCentre">;
 
-/** Number of own slots by target; targets without any are absent. */
-export function dealSlots(
+/** Number of slots allocated to `self`, by target. Targets without any are absent. */
+export function allocateSlots(
   self: model.VmId,
   holders: readonly SlotHolder[],
   targets: readonly model.Target[],
   slots: number,
 ): Map<model.TargetId, number> {
   const own = new Map<model.TargetId, number>();
-  const places = new Set(targets.map((target) => target.dataCentre));
-  const separate = holders.every((holder) => places.has(holder.dataCentre));
-  const dealt = new Map<string, number>();
+  const targetDataCentres = new Set(targets.map((target) => target.dataCentre));
+  const isPerDataCentre = holders.every((holder) => targetDataCentres.has(holder.dataCentre));
+  const positions = new Map<string, number>();
   for (const target of targets) {
-    // Targets where there are no VMs are dealt to all.
-    const near = separate
+    // The slots of a data centre without VMs are allocated to all VMs.
+    const nearHolders = isPerDataCentre
       ? holders.filter((holder) => holder.dataCentre === target.dataCentre)
       : [];
-    const receivers = near.length > 0 ? near : holders;
-    const place = near.length > 0 ? target.dataCentre : "";
+    const receivers = nearHolders.length > 0 ? nearHolders : holders;
+    const group = nearHolders.length > 0 ? target.dataCentre : "";
     for (let slot = 0; slot < slots; slot++) {
-      const position = dealt.get(place) ?? 0;
-      dealt.set(place, position + 1);
+      const position = positions.get(group) ?? 0;
+      positions.set(group, position + 1);
       if (receivers[position % receivers.length]?.vm === self) {
         own.set(target.id, (own.get(target.id) ?? 0) + 1);
       }
--- a/packages/targets/src/target_state.ts
+++ b/packages/targets/src/target_state.ts
@@ -1,23 +1,23 @@
 /**
- * What this VM knows of one target for the choice: its own requests there, latency, and readiness.
+ * The state of one target on which its choice is based: running requests, latency and readiness.
  */
 
-/** Weight of a new latency in the average. */
+/** Weight of a new sample in the moving average of latencies. */
 const LATENCY_WEIGHT = 0.3;
 
-/** A latency that was not renewed for this long is forgotten. */
+/** The average latency is discarded when no call has updated it for this long. */
 const LATENCY_LIFETIME_MILLISECONDS = 20_000;
 
-/** A new or returning target gets its full share after this time. */
+/** Time over which the share of a new or returning target grows to its full size. */
 const RAMP_MILLISECONDS = 10_000;
 
-const LEAST_READINESS = 0.1;
+const MINIMUM_READINESS = 0.1;
 
-/** A shed answer halves the target's share, which recovers over this time. */
+/** A shed call halves the share of its target, which recovers over this time. */
 const SHED_FACTOR = 0.5;
 const SHED_RECOVERY_MILLISECONDS = 5_000;
 
-/** One target as this VM sees it. */
+/** The state of one target on this VM. */
 export class TargetState {
   #running = 0;
   #busyMilliseconds = 0;
@@ -28,12 +28,12 @@
   #latencyAt = 0;
   #shedShare = 1;
   #shedAt = Number.NEGATIVE_INFINITY;
-  /** Requests that all VMs run on the target, as the coordinator last told. */
+  /** Requests that all VMs run on the target, as last reported by the coordinator. */
   reportedLoad = 0;
-  /** What this VM contributed to it. */
+  /** The part of `reportedLoad` that comes from this VM. */
   ownReportedLoad = 0;
 
-  /** @param cold Whether the target's share grows from little. */
+  /** @param cold Whether the target starts with a small share that grows over time. */
   constructor(cold: boolean, nowMilliseconds: number) {
     this.#rampFrom = cold ? nowMilliseconds : Number.NEGATIVE_INFINITY;
     this.#busySince = nowMilliseconds;
@@ -60,48 +60,52 @@
     this.#running--;
   }
 
-  /** Makes the target's share grow from little, as after its return. */
+  /** Reduces the target to a small share that grows over time, such as after its return to use. */
   startRamp(nowMilliseconds: number): void {
     this.#rampFrom = nowMilliseconds;
     this.#latency = undefined;
   }
 
-  noteLatency(milliseconds: number, nowMilliseconds: number): void {
-    const known = this.getLatency(nowMilliseconds);
-    this.#latency = known === undefined
+  recordLatency(milliseconds: number, nowMilliseconds: number): void {
+    const previous = this.getLatency(nowMilliseconds);
+    this.#latency = previous === undefined
       ? milliseconds
-      : known + LATENCY_WEIGHT * (milliseconds - known);
+      : previous + LATENCY_WEIGHT * (milliseconds - previous);
     this.#latencyAt = nowMilliseconds;
   }
 
-  noteShed(nowMilliseconds: number): void {
-    this.#shedShare = Math.max(LEAST_READINESS, this.#getShedShare(nowMilliseconds) * SHED_FACTOR);
+  recordShed(nowMilliseconds: number): void {
+    this.#shedShare = Math.max(
+      MINIMUM_READINESS,
+      this.#getShedShare(nowMilliseconds) * SHED_FACTOR,
+    );
     this.#shedAt = nowMilliseconds;
   }
 
-  /** Recent average latency in milliseconds; undefined when nothing recent is known. */
+  /** Average latency in milliseconds; undefined without a recent call. */
   getLatency(nowMilliseconds: number): number | undefined {
     return nowMilliseconds - this.#latencyAt < LATENCY_LIFETIME_MILLISECONDS
       ? this.#latency
       : undefined;
   }
 
-  /** From a little above 0 to 1. */
+  /** Weight of the target in the choice, from `MINIMUM_READINESS` to 1. */
   getReadiness(nowMilliseconds: number): number {
     const ramped = (nowMilliseconds - this.#rampFrom) / RAMP_MILLISECONDS;
     const share = Math.min(1, ramped) * this.#getShedShare(nowMilliseconds);
-    return Math.max(LEAST_READINESS, share);
+    return Math.max(MINIMUM_READINESS, share);
   }
 
   /**
    * Average number of running requests since the last call of this method.
    *
-   * @param leastMilliseconds Shortest time to average over, since the value may stand for that long.
+   * @param minimumMilliseconds Shortest time to average over. The coordinator may use the value for
+   * this long, so a short burst must not count as the load of the whole time.
    */
-  takeAverageLoad(leastMilliseconds: number, nowMilliseconds: number): number {
+  takeAverageLoad(minimumMilliseconds: number, nowMilliseconds: number): number {
     this.#accumulate(nowMilliseconds);
     const elapsed = nowMilliseconds - this.#loadSince;
-    const average = this.#busyMilliseconds / Math.max(elapsed, leastMilliseconds);
+    const average = this.#busyMilliseconds / Math.max(elapsed, minimumMilliseconds);
     this.#busyMilliseconds = 0;
     this.#loadSince = nowMilliseconds;
     return average;
--- a/packages/targets/src/target_subset.ts
+++ b/packages/targets/src/target_subset.ts
@@ -1,6 +1,6 @@
 /**
- * Which targets a VM may connect to, and with how many connections, so that all VMs together keep a
- * target's limit whatever they know of each other.
+ * Selects the targets that a VM may connect to and limits its connections to each, so that all VMs
+ * together stay within a target's limit without having to communicate.
  */
 
 import * as fleet from "@hemlockwalk/fleet";
@@ -9,12 +9,12 @@
 /** Standard deviations between the expected number of VMs at a target and its limit. */
 const SAFETY_DEVIATIONS = 5;
 
-/** Targets that each VM uses at the least, where there are as many. */
-const LEAST_TARGETS = 2;
+/** Minimum number of targets that each VM uses, if there are as many. */
+const MINIMUM_TARGETS = 2;
 
 const HASH_RANGE = 2 ** 32;
 
-/** Connections that a VM may hold to a target that it uses. */
+/** Connections that a VM may keep open to each target that it uses. */
 export function getConnectionShare(connections: number, vmLimit: number): number {
   return Math.max(1, Math.floor(connections / vmLimit));
 }
@@ -22,9 +22,10 @@
 /**
  * The targets that a VM uses, in their order.
  *
- * While a target accepts a connection of each VM, all targets are used. Otherwise each VM draws its
- * own by hashing, with a probability that keeps the number of VMs at a target five standard deviations
- * below its limit. The draw depends on nothing but the two identifiers and the declared limits.
+ * If a target accepts a connection from each VM, all targets are used. Otherwise each VM selects
+ * targets by hashing, with a probability that keeps the expected number of VMs per target five
+ * standard deviations below the limit. The selection depends only on the two identifiers and the
+ * declared limits.
  */
 export function selectSubset(
   vm: model.VmId,
@@ -37,14 +38,17 @@
   }
   const expected = Math.max(1, connections - SAFETY_DEVIATIONS * Math.sqrt(connections));
   const limit = expected / vmLimit * HASH_RANGE;
-  const drawn = targets.map((target) => ({
+  const hashed = targets.map((target) => ({
     target,
     hash: fleet.hashText(`${vm}\n${target.id}`),
   }));
-  const subset = drawn.filter(({ hash }) => hash < limit);
-  if (subset.length >= LEAST_TARGETS) {
+  const subset = hashed.filter(({ hash }) => hash < limit);
+  if (subset.length >= MINIMUM_TARGETS) {
     return subset.map(({ target }) => target);
   }
-  const lowest = [...drawn].sort((left, right) => left.hash - right.hash).slice(0, LEAST_TARGETS);
+  const lowest = [...hashed].sort((left, right) => left.hash - right.hash).slice(
+    0,
+    MINIMUM_TARGETS,
+  );
   return lowest.map(({ target }) => target);
 }
--- a/packages/targets/src/types.ts
+++ b/packages/targets/src/types.ts
@@ -8,36 +8,38 @@
 /** 32-bit hash of an identifier, by which messages between VMs name targets and routes. */
 export type ShortId = model.Brand<number, "ShortId">;
 
-/** Ways in which a target can be sick. `failed` counts what is `broken` too. */
+/** How a call shows that its target is failing. Counts of `failed` include `broken`. */
 export type FaultKind =
-  /** No whole answer came: refused, reset, truncated, or nothing for long. */
+  /** No complete response: the call was refused, reset, truncated, or got no response in time. */
   | "broken"
-  /** An answer with an error, or no whole answer. */
+  /** An error response, or no complete response. */
   | "failed"
-  /** An answer that took much longer than the route's other answers. */
+  /** A response that took much longer than the other responses of the route. */
   | "slow";
 
-/** What a call counts as when a target is judged. */
+/** What a call counts as when its target is evaluated. */
 export type EvidenceKind = "good" | "shed" | FaultKind;
 
-/** From where a target is out of use. Absent fields mean: from everywhere, for every route. */
+/**
+ * The requests that a verdict applies to. An absent field stands for all data centres or routes.
+ */
 export interface VerdictScope {
-  /** Only from the VMs of this data centre: the path is at fault. */
+  /** Only requests from VMs of this data centre, since the network path from there is at fault. */
   readonly dataCentre?: model.DataCentreId | undefined;
-  /** Only for requests of this route. */
+  /** Only requests of this route. */
   readonly route?: ShortId | undefined;
 }
 
-/** That a target is out of use, from where, and for how long. */
+/** The decision to eject a target, with its scope, state and remaining duration. */
 export interface Verdict {
   readonly target: ShortId;
   readonly scope: VerdictScope;
-  /** `out`: no requests. `trial`: few idempotent requests from the VMs that are named for it. */
+  /** `out`: no requests. `trial`: a few idempotent requests from the VMs selected for it. */
   readonly state: "out" | "trial";
-  /** Until trial requests begin. */
+  /** Time until trial requests begin. */
   readonly remainingMilliseconds: number;
-  /** How often the target was ejected lately; each time doubles the duration. */
-  readonly offences: number;
+  /** Number of recent ejections, including failed trials. Each one doubles the duration. */
+  readonly ejectionCount: number;
 }
 
 /** A target that a strategy may choose. */
@@ -47,29 +49,29 @@
   readonly running: number;
   /** Requests that all other VMs run on the target, as last reported. */
   readonly peerLoad: number;
-  /** Requests that the target runs at once for the whole fleet. */
+  /** Maximum number of concurrent requests from the whole fleet. */
   readonly slots: number;
-  /** Recent latency in milliseconds; undefined before the first call. */
+  /** Average latency of recent calls in milliseconds; undefined without a recent call. */
   readonly latencyMilliseconds: number | undefined;
-  /** From 0 to 1: less while the target is cold, returns, or sheds load. */
+  /** Weight from 0 to 1, reduced while the target is new, has just returned, or sheds load. */
   readonly readiness: number;
-  /** Whether the target stands in this VM's data centre. */
+  /** Whether the target is in this VM's data centre. */
   readonly near: boolean;
 }
 
-/** A way to choose among the targets that are in use and have a free slot. */
+/** Chooses among the targets that are in use and have a free slot. */
 export interface ChoiceStrategy {
   /** Undefined only when there are no candidates. */
   choose(service: model.ServiceId, candidates: readonly Candidate[]): Candidate | undefined;
 }
 
-/** Asks a target itself whether it is well. */
+/** Checks the health of a target directly, without a caller's request. */
 export interface Probe {
-  /** Whether the target answered well. Never rejects. */
+  /** Whether the target is healthy. Never rejects. */
   check(target: model.Target, signal: AbortSignal): Promise<boolean>;
 }
 
-/** Tells when the process last resumed after a pause. */
+/** Reports when the process last resumed after a pause. */
 export interface PauseSource {
   readonly lastResumeMilliseconds: number;
   onResume(listener: (milliseconds: number) => void): void;
@@ -78,24 +80,24 @@
 /** How one call to a target ended. */
 export type CallResult =
   | "success"
-  /** The target answered with a status of 500 or above. */
+  /** The target responded with a status of 500 or above. */
   | "server_error"
-  /** The target said that it sheds load; no sign of sickness. */
+  /** The target rejected the call to shed load; not evidence that it is failing. */
   | "shed"
   /** The connection was refused or could not be opened in time; nothing was sent. */
   | "connect_failed"
-  /** The connection ended before an answer began. */
+  /** The connection ended before a response began. */
   | "reset"
-  /** The answer began and ended early. */
+  /** The response began, but was cut off. */
   | "truncated"
   | "timeout"
-  /** The caller went away; says nothing about the target. */
+  /** The caller cancelled the request; not evidence about the target. */
   | "cancelled";
 
-/** What a call showed of its target. */
+/** The outcome of a call to a target. */
 export interface CallOutcome {
   readonly result: CallResult;
-  /** Milliseconds until the answer's head; until the failure where there was no answer. */
+  /** Time until the response headers, or until the failure if there was no response. */
   readonly latencyMilliseconds: number;
   readonly route: model.RouteId;
 }
@@ -103,25 +105,27 @@
 /** The right to run one request on one target. */
 export interface TargetLease {
   readonly target: model.Target;
-  /** Gives the slot back, with what the call showed. Only the first call counts. */
+  /** Returns the slot and records the outcome of the call. Only the first release has an effect. */
   release(outcome: CallOutcome): void;
 }
 
-/** What matters for the choice of a target. */
+/** The properties of a request that determine the choice of its target. */
 export interface TargetRequest {
   readonly service: model.ServiceId;
   readonly route: model.RouteId;
-  /** Trial requests to a target under suspicion are idempotent ones only. */
+  /** Only idempotent requests may be sent to an ejected target as trial requests. */
   readonly idempotent: boolean;
-  /** Targets that the same request was sent to before. */
+  /** Targets to which the request has already been sent. */
   readonly exclude: ReadonlySet<model.TargetId>;
 }
 
-/** Chooses targets and learns from what their calls showed. */
+/** Chooses targets for requests and evaluates targets by the outcomes of their calls. */
 export interface TargetPool extends kernel.Service {
-  /** A slot on a target; undefined while the service has none free for this VM. */
+  /** Acquires a slot on a target; undefined while the service has none free for this VM. */
   tryAcquire(request: TargetRequest): TargetLease | undefined;
-  /** Connections that this VM may hold open to a target, so that the fleet keeps the declared limit. */
+  /**
+   * Connections that this VM may keep open to a target, so that the fleet stays within its limit.
+   */
   getConnectionLimit(target: model.TargetId): number;
   /** Calls the listener whenever slots of a service may have become free. */
   onCapacity(listener: (service: model.ServiceId) => void): void;
--- a/packages/targets/src/verdict_store.ts
+++ b/packages/targets/src/verdict_store.ts
@@ -1,8 +1,9 @@
 /**
- * The verdicts of coordinators that this VM holds, and which of them it follows.
+ * Stores the verdicts received from coordinators and selects those that this VM follows.
  *
- * A verdict is dated by the newest digest of this VM that its sender had seen, on this VM's own clock.
- * So a message that was held up, or a coordinator that no longer hears this VM, cannot bind it.
+ * The lifetime of a verdict starts at the newest digest of this VM that the coordinator had
+ * received, by this VM's own clock. Verdicts in a delayed message, or from a coordinator that no
+ * longer receives digests from this VM, therefore expire.
  */
 
 import type * as fleet from "@hemlockwalk/fleet";
@@ -10,7 +11,7 @@
 import * as messages from "./messages.ts";
 import type * as types from "./types.ts";
 
-/** What a coordinator last told of one service. */
+/** The verdicts on one service that a coordinator last sent. */
 export interface HeldVerdicts {
   readonly sender: model.VmId;
   readonly incarnation: model.Incarnation;
@@ -21,20 +22,20 @@
   readonly mayTry: boolean;
 }
 
-/** Why a message was not taken. */
+/** Why a message was ignored. */
 export type IgnoredReason = "expired" | "reordered" | "future";
 
-/** Holds verdicts by service and sender. */
-export class VerdictBoard {
+/** Stores verdicts by service and sender. */
+export class VerdictStore {
   readonly #held = new Map<model.ServiceId, Map<model.VmId, HeldVerdicts>>();
   readonly #expire: boolean;
 
-  /** @param expire Whether verdicts end at all; always, but in the tests of this guard. */
+  /** @param expire Whether verdicts expire. Only tests of this guard disable it. */
   constructor(expire: boolean) {
     this.#expire = expire;
   }
 
-  /** Takes a message; tells why when it is not taken. */
+  /** Stores the verdicts of a message. Returns the reason if the message is ignored. */
   accept(
     from: fleet.VmIdentity,
     message: messages.VerdictMessage,
@@ -73,9 +74,10 @@
   }
 
   /**
-   * The verdicts to follow: those of the sender that ranks first among those still valid.
+   * The verdicts to follow: those of the highest-ranked coordinator whose verdicts are still valid.
    *
-   * @param ranked Coordinators of the service, best first, in this VM's own view. Others are ignored.
+   * @param ranked Coordinators of the service in this VM's view, highest rank first. Verdicts of
+   * others are ignored.
    */
   getCurrent(
     service: model.ServiceId,
@@ -92,20 +94,20 @@
     return undefined;
   }
 
-  /** Removes what has expired; tells how many verdicts ended so. */
+  /** Removes expired verdicts and returns their number. */
   removeExpired(nowMilliseconds: number): number {
-    let ended = 0;
+    let expired = 0;
     for (const [service, bySender] of this.#held) {
       for (const [vm, held] of bySender) {
         if (this.#expire && held.validUntil <= nowMilliseconds) {
           bySender.delete(vm);
-          ended += held.verdicts.length;
+          expired += held.verdicts.length;
         }
       }
       if (bySender.size === 0) {
         this.#held.delete(service);
       }
     }
-    return ended;
+    return expired;
   }
 }
--- a/packages/targets/test/choice_test.ts
+++ b/packages/targets/test/choice_test.ts
@@ -1,5 +1,5 @@
 /**
- * Choice of targets: strategies, slots, leaving and cold targets, shed answers, connection limits.
+ * Choice of targets: strategies, slots, leaving and new targets, shed calls, connection limits.
  */
 
 import assert from "node:assert/strict";
@@ -8,7 +8,7 @@
 import * as kernel from "@hemlockwalk/kernel";
 import * as kernelTesting from "@hemlockwalk/kernel/testing";
 import * as model from "@hemlockwalk/model";
-import * as slotShares from "../src/slot_allocation.ts";
+import * as slotAllocations from "../src/slot_allocation.ts";
 import * as subsets from "../src/target_subset.ts";
 import * as targets from "../src/mod.ts";
 import * as fixtures from "./fixtures.ts";
@@ -65,7 +65,7 @@
 }
 
 test.describe("choice", () => {
-  test.it("never runs more than the slots, and released leases leak none", (context) => {
+  test.it("never exceeds the slots, and releasing a lease returns its slot once", (context) => {
     const { pool } = createPool(context, { targets: 4, dataCentres: 1, slots: 3, vmLimit: 2 });
     const capacity: model.ServiceId[] = [];
     pool.onCapacity((service) => capacity.push(service));
@@ -89,7 +89,7 @@
     }
   });
 
-  test.it("prefers the near data centre and spills over when it is busy", (context) => {
+  test.it("prefers the near data centre until its targets are busy", (context) => {
     const { pool } = createPool(context, { targets: 8, dataCentres: 4, slots: 3, vmLimit: 2 });
     const leases = Array.from({ length: 24 }, () => acquire(pool));
     const dataCentres = leases.map((lease) => lease?.target.dataCentre);
@@ -99,28 +99,28 @@
     assert.equal(new Set(dataCentres).size, 4);
   });
 
-  test.it("deals each slot to one VM, and about as many to each", () => {
+  test.it("allocates each slot to one VM, and about equally many to each VM", () => {
     const identities = fixtures.createIdentities(40, 4);
     const snapshot = fixtures.createSnapshot({ targets: 14, dataCentres: 4 });
     const declared = snapshot.listTargets(fixtures.SERVICE);
-    const dealt = new Map<model.TargetId, number>();
+    const allocated = new Map<model.TargetId, number>();
     for (const { vm } of identities) {
-      const own = slotShares.dealSlots(vm, identities, declared, 6);
+      const own = slotAllocations.allocateSlots(vm, identities, declared, 6);
       const total = [...own.values()].reduce((sum, slots) => sum + slots, 0);
       assert.ok(total === 1 || total === 2 || total === 3);
       for (const [id, slots] of own) {
-        dealt.set(id, (dealt.get(id) ?? 0) + slots);
+        allocated.set(id, (allocated.get(id) ?? 0) + slots);
       }
     }
-    assert.equal(dealt.size, 14);
-    assert.ok([...dealt.values()].every((slots) => slots === 6));
+    assert.equal(allocated.size, 14);
+    assert.ok([...allocated.values()].every((slots) => slots === 6));
   });
 
-  test.it("runs no more than a busy target's slots over all VMs", async (context) => {
+  test.it("does not exceed the slots of busy targets over all VMs", async (context) => {
     const declaration = { targets: 6, dataCentres: 2, slots: 3, vmLimit: 10 };
     const fleet = new testFleet.TestFleet(10, declaration, 6_011);
     context.after(() => fleet.stop());
-    // Calls never end, so that all slots fill up while the loads are reported again and again.
+    // Calls never end, so that all slots fill up while the loads are reported repeatedly.
     fleet.rule = () => undefined;
     const counts = new Map<model.TargetId, number>();
     for (let round = 0; round < 60; round++) {
@@ -135,11 +135,11 @@
     const running = [...counts.values()];
     const total = running.reduce((sum, count) => sum + count, 0);
     assert.ok(total >= 18, `${total} run in 18 slots`);
-    // The first requests may borrow before any load is reported: one for each VM, once.
+    // Each VM may borrow one slot for its first request, before any load is reported.
     assert.ok(total <= 18 + 10, `${total} run in 18 slots`);
   });
 
-  test.it("lets waiting requests borrow again when no load is reported any more", async (context) => {
+  test.it("lets queued requests borrow again when no load is reported", async (context) => {
     const declaration = { targets: 4, dataCentres: 1, slots: 2, vmLimit: 8 };
     const fleet = new testFleet.TestFleet(8, declaration, 6_012);
     context.after(() => fleet.stop());
@@ -163,7 +163,7 @@
     assert.notEqual(fleet.request(index, false), undefined);
   });
 
-  test.it("gives a leaving target nothing from the moment of the note on", (context) => {
+  test.it("sends a leaving target no requests once it is declared as leaving", (context) => {
     const { pool, configuration } = createPool(context, { targets: 4, dataCentres: 1 });
     countChoices(pool, 50, () => "success");
     const leaving = new Set([1]);
@@ -173,7 +173,7 @@
     assert.equal(counts.size, 3);
   });
 
-  test.it("leaves out the targets that a request was sent to before", (context) => {
+  test.it("excludes the targets to which a request was already sent", (context) => {
     const { pool } = createPool(context, { targets: 3, dataCentres: 1 });
     const exclude = new Set([fixtures.getTargetId(0), fixtures.getTargetId(2)]);
     for (let call = 0; call < 5; call++) {
@@ -183,7 +183,7 @@
     assert.equal(acquire(pool, exclude), undefined);
   });
 
-  test.it("gives a new target little at first and its share later", async (context) => {
+  test.it("starts a new target with a small share that grows over time", async (context) => {
     const { pool, configuration, clock } = createPool(context, { targets: 4, dataCentres: 1 });
     await clock.advance(20_000, 1_000);
     configuration.set(fixtures.createSnapshot({ targets: 5, dataCentres: 1 }, 2));
@@ -194,7 +194,7 @@
     assert.ok(warm > 140 && warm < 260, `${warm} of 1000 later`);
   });
 
-  test.it("backs off from a target that sheds without taking it for sick", async (context) => {
+  test.it("sends fewer requests to a target that sheds, without ejecting it", async (context) => {
     const { pool, clock } = createPool(context, { targets: 5, dataCentres: 1, floor: 0.2 });
     const shedding = fixtures.getTargetId(2);
     let shed = 0;
@@ -210,7 +210,7 @@
     assert.equal(pool.listInUse(fixtures.SERVICE, fixtures.ROUTE).length, 5);
   });
 
-  test.it("keeps each target's connections below its limit in a fleet of the largest size", () => {
+  test.it("keeps the connections of each target within its limit in the largest fleet", () => {
     const snapshot = fixtures.createSnapshot({ targets: 50, dataCentres: 8 });
     const declared = snapshot.listTargets(fixtures.SERVICE);
     const holders = new Map<model.TargetId, number>();
--- a/packages/targets/test/fixtures.ts
+++ b/packages/targets/test/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Small fakes around the pool: a configuration that the test sets, and a pause source.
+ * Test fixtures of the pool: configurations, identities, and fakes of the services that it uses.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
@@ -13,7 +13,7 @@
 export const ROUTE = model.createRouteId("browse");
 export const OTHER_ROUTE = model.createRouteId("book");
 
-/** What a test declares. */
+/** The service and targets that a test declares. */
 export interface Declaration {
   readonly targets: number;
   readonly dataCentres: number;
--- a/packages/targets/test/fleet_test.ts
+++ b/packages/targets/test/fleet_test.ts
@@ -1,6 +1,6 @@
 /**
- * Several VMs with their coordinator: random histories, and one history for each guard that shows that
- * its check notices when the guard is missing.
+ * Several VMs with their coordinator: random histories, and a fixed history for each guard to
+ * verify that its check fails without the guard.
  */
 
 import assert from "node:assert/strict";
@@ -23,7 +23,7 @@
   vmLimit: VMS,
   slots: 20,
 };
-const SICK = fixtures.getTargetId(0);
+const FAILING_TARGET = fixtures.getTargetId(0);
 
 const step = fastCheck.oneof(
   fastCheck.record({
@@ -76,7 +76,7 @@
   fleet: testFleet.TestFleet,
   entry: Step,
   faults: Map<model.TargetId, Fault>,
-  noteNumber: number,
+  configurationNumber: number,
 ): void {
   switch (entry.kind) {
     case "fault":
@@ -105,7 +105,7 @@
       return;
     case "note": {
       const leaving = new Set(entry.leaving);
-      const snapshot = fixtures.createSnapshot({ ...DECLARATION, leaving }, noteNumber);
+      const snapshot = fixtures.createSnapshot({ ...DECLARATION, leaving }, configurationNumber);
       for (const [index, vm] of fleet.vms.entries()) {
         if (isAffected(entry.vms, index)) {
           vm.configuration.set(snapshot);
@@ -135,7 +135,7 @@
   }
 }
 
-/** Runs a history; tells how often a VM was seen with a target out of use. */
+/** Runs a history. Returns how often a VM was observed with a target out of use. */
 async function runHistory(
   seed: number,
   steps: readonly Step[],
@@ -149,10 +149,10 @@
   };
   let out = 0;
   try {
-    let noteNumber = 1;
+    let configurationNumber = 1;
     for (const entry of steps) {
-      noteNumber++;
-      applyStep(fleet, entry, faults, noteNumber);
+      configurationNumber++;
+      applyStep(fleet, entry, faults, configurationNumber);
       const before = fleet.calls.length;
       for (let part = 0; part < 8; part++) {
         await fleet.run(200, 4);
@@ -172,13 +172,13 @@
   return out;
 }
 
-/** After all calls have ended, none is counted as running, and own slots are free. */
+/** Checks that after all calls have ended none is counted as running, and own slots are free. */
 function checkSlots(fleet: testFleet.TestFleet): void {
   fleet.endAllCalls();
   for (const { pool } of fleet.vms) {
     assert.equal(pool.runningRequests, 0);
     const inUse = pool.listInUse(fixtures.SERVICE, fixtures.OTHER_ROUTE).length;
-    // At the least, the own slots of the targets in use must be free.
+    // At least the own slots of the targets in use must be free.
     const ownSlots = DECLARATION.slots * TARGETS / VMS - DECLARATION.slots * (TARGETS - inUse);
     for (let slot = 0; slot < ownSlots; slot++) {
       const lease = pool.tryAcquire({
@@ -206,8 +206,8 @@
 }
 
 /**
- * Most near targets fail for three of the eight VMs of a data centre. Whether the other VMs go on using
- * all targets.
+ * Most near targets fail for three of the eight VMs of a data centre. Returns whether the other VMs
+ * continue to use all targets.
  */
 async function keepsTargetsWhenOthersAreCutOff(
   seed: number,
@@ -230,32 +230,37 @@
   }
 }
 
-/** A target refuses the VMs of one data centre. Whether the others go on using it. */
+/** A target hangs for the VMs of one data centre. Returns whether the others continue to use it. */
 function keepsTargetOnPathFault(seed: number, guards: targets.Guards): Promise<boolean> {
   return withFleet(seed, guards, async (fleet) => {
     await fleet.run(5_000, 4);
-    fleet.rule = ({ vm, target }) => target === SICK && vm % 2 === 0 ? undefined : "success";
+    fleet.rule = ({ vm, target }) =>
+      target === FAILING_TARGET && vm % 2 === 0 ? undefined : "success";
     let avoided = false;
     let kept = true;
     for (let part = 0; part < 50; part++) {
       await fleet.run(200, 4);
-      avoided ||= fleet.listOut(2).includes(SICK);
-      kept &&= !fleet.listOut(1).includes(SICK) && !fleet.listOut(3).includes(SICK);
+      avoided ||= fleet.listOut(2).includes(FAILING_TARGET);
+      kept &&= !fleet.listOut(1).includes(FAILING_TARGET) &&
+        !fleet.listOut(3).includes(FAILING_TARGET);
     }
-    assert.ok(avoided, "The data centre that cannot reach the target avoids it.");
+    assert.ok(avoided, "The target is out of use for the data centre that cannot reach it.");
     return kept;
   });
 }
 
-/** The coordinator is cut off one way after an ejection. Whether the healed target returns. */
+/**
+ * After an ejection, messages from the coordinator are lost. Returns whether the target returns to
+ * use once it is healthy again.
+ */
 function returnsTargetWithoutCoordinator(seed: number, guards: targets.Guards): Promise<boolean> {
   return withFleet(seed, guards, async (fleet) => {
     await fleet.run(3_000, 4);
-    fleet.rule = ({ target }) => target === SICK ? "connect_failed" : "success";
+    fleet.rule = ({ target }) => target === FAILING_TARGET ? "connect_failed" : "success";
     await fleet.run(4_000, 4);
     const coordinator = fleet.getCoordinator();
     const index = fleet.vms.findIndex((vm) => vm !== coordinator);
-    assert.ok(fleet.listOut(index).includes(SICK), "The target is ejected first.");
+    assert.ok(fleet.listOut(index).includes(FAILING_TARGET), "The target is ejected first.");
     for (const { identity } of fleet.vms) {
       if (identity.vm !== coordinator.identity.vm) {
         fleet.hub.getLink(coordinator.identity.vm, identity.vm).cut = true;
@@ -263,7 +268,7 @@
     }
     fleet.rule = () => "success";
     await fleet.run(15_000, 4);
-    return !fleet.listOut(index).includes(SICK);
+    return !fleet.listOut(index).includes(FAILING_TARGET);
   });
 }
 
@@ -278,12 +283,12 @@
       },
     );
     await fastCheck.assert(property, kernelTesting.getRandomRuns(6_004, 25));
-    assert.ok(out > 0, "The histories must hold ejections, or they show nothing.");
+    assert.ok(out > 0, "The histories must contain ejections to be a valid check.");
   });
 
   test.it("breaks the floor in a random history without its guard", async () => {
     const guards = { ...targets.ALL_GUARDS, floor: false };
-    // Quiet steps between the faults, so that no VM suspects itself.
+    // Steps without a change between the faults, so that no VM detects a local fault.
     const quiet: Step[] = Array.from({ length: 4 }, () => ({ kind: "resume" }));
     const faults = [0, 2, 4].flatMap((target): Step[] => [
       { kind: "fault", target, result: "connect_failed", vms: "all" },
@@ -293,30 +298,30 @@
     await assert.rejects(runHistory(1, faults, guards), /floor/);
   });
 
-  test.it("VMs that many targets fail for suspect themselves", async () => {
-    const guards = { ...targets.ALL_GUARDS, selfSuspicion: false };
+  test.it("a VM for which many targets fail detects a local fault", async () => {
+    const guards = { ...targets.ALL_GUARDS, localFaultDetection: false };
     assert.ok(await keepsTargetsWhenOthersAreCutOff(6_005, targets.ALL_GUARDS));
     assert.ok(!await keepsTargetsWhenOthersAreCutOff(6_005, guards));
   });
 
-  test.it("a target that one data centre cannot reach is not ejected", async () => {
+  test.it("a target that one data centre cannot reach is not ejected for the others", async () => {
     const guards = { ...targets.ALL_GUARDS, pathCheck: false };
     assert.ok(await keepsTargetOnPathFault(6_006, targets.ALL_GUARDS));
     assert.ok(!await keepsTargetOnPathFault(6_006, guards));
   });
 
-  test.it("verdicts of a coordinator that is not heard any more end", async () => {
+  test.it("verdicts of a coordinator that can no longer be reached expire", async () => {
     const guards = { ...targets.ALL_GUARDS, verdictExpiry: false };
     assert.ok(await returnsTargetWithoutCoordinator(6_007, targets.ALL_GUARDS));
     assert.ok(!await returnsTargetWithoutCoordinator(6_007, guards));
   });
 
-  test.it("a coordinator that was paused ejects nobody for what it missed", async () => {
+  test.it("a coordinator ejects no target for evidence from before it resumed", async () => {
     await withFleet(6_008, targets.ALL_GUARDS, async (fleet) => {
       await fleet.run(3_000, 4);
       const coordinator = fleet.getCoordinator();
       fleet.pause(coordinator);
-      fleet.rule = ({ target }) => target === SICK ? "connect_failed" : "success";
+      fleet.rule = ({ target }) => target === FAILING_TARGET ? "connect_failed" : "success";
       await fleet.run(4_000, 4);
       fleet.rule = () => "success";
       await fleet.run(4_000, 4);
@@ -329,7 +334,7 @@
     });
   });
 
-  test.it("calls that span a pause of their VM say nothing of the target", async () => {
+  test.it("calls that span a pause of their VM are not evidence", async () => {
     await withFleet(6_009, targets.ALL_GUARDS, async (fleet) => {
       await fleet.run(3_000, 4);
       const vm = fleet.getVm(0);
--- a/packages/targets/test/floor_test.ts
+++ b/packages/targets/test/floor_test.ts
@@ -1,5 +1,5 @@
 /**
- * The floor: how it is counted, and that no verdicts in any order take a VM below it.
+ * The floor: how it is counted, and that no verdicts, in whatever order, take a VM below it.
  */
 
 import assert from "node:assert/strict";
@@ -28,7 +28,7 @@
   }),
   state: fastCheck.constantFrom<types.Verdict["state"]>("out", "trial"),
   remainingMilliseconds: fastCheck.nat(60_000),
-  offences: fastCheck.integer({ min: 1, max: 9 }),
+  ejectionCount: fastCheck.integer({ min: 1, max: 9 }),
 });
 
 const selection = fastCheck.record({
@@ -48,7 +48,7 @@
   >
   & { readonly leaving: readonly number[] };
 
-function select(request: SelectionCase, keepFloor: boolean): exclusion.TargetSelection {
+function select(request: SelectionCase, enforceFloor: boolean): exclusion.TargetSelection {
   const { leaving } = request;
   const snapshot = fixtures.createSnapshot({
     targets: TARGETS,
@@ -59,13 +59,13 @@
     target,
     shortId: messages.createShortId(target.id),
   }));
-  return exclusion.selectTargets({ ...request, declared, keepFloor });
+  return exclusion.selectTargets({ ...request, declared, enforceFloor });
 }
 
-function check(request: SelectionCase, keepFloor: boolean): void {
-  const { inUse, trials, out } = select(request, keepFloor);
+function check(request: SelectionCase, enforceFloor: boolean): void {
+  const { inUse, trials, out } = select(request, enforceFloor);
   const staying = TARGETS - request.leaving.length;
-  // Stated without the code under test: the share of all targets, or all that stay.
+  // Computed without the code under test: the share of all targets, or all that are not leaving.
   const least = Math.min(staying, Math.max(1, request.floor * TARGETS - 1e-6));
   assert.ok(inUse.length >= least, `${inUse.length} in use, at least ${least} are due`);
   assert.ok(inUse.every(({ target }) => !target.leaving));
@@ -87,19 +87,19 @@
     fastCheck.assert(property, { seed: 6_001, numRuns: 2_000 });
   });
 
-  test.it("is what the check above depends on", () => {
+  test.it("is broken without its guard", () => {
     const property = fastCheck.property(selection, (request) => check(request, false));
     assert.ok(fastCheck.check(property, { seed: 6_001, numRuns: 2_000 }).failed);
   });
 
-  test.it("lets a verdict for another data centre or route alone", () => {
+  test.it("ignores verdicts for other data centres or routes", () => {
     const target = messages.createShortId(fixtures.getTargetId(0));
     const elsewhere: types.Verdict = {
       target,
       scope: { dataCentre: fixtures.getDataCentre(1), route: OTHER_ROUTE },
       state: "out",
       remainingMilliseconds: 1_000,
-      offences: 1,
+      ejectionCount: 1,
     };
     const request = {
       floor: 0.5,
--- a/packages/targets/test/test_fleet.ts
+++ b/packages/targets/test/test_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Several VMs with their pools in one process, before targets that answer as the test says.
+ * Several VMs with their pools in one process, with targets whose results the test determines.
  */
 
 import * as configurationTesting from "@hemlockwalk/configuration/testing";
@@ -14,7 +14,7 @@
 const STEP_MILLISECONDS = 20;
 const GOOD_LATENCY_MILLISECONDS = 20;
 
-/** What a call to a target shows; undefined when no answer ever comes. */
+/** Returns the result of a call to a target; undefined for a call that never ends. */
 export type TargetRule = (
   call: { readonly vm: number; readonly target: model.TargetId; readonly route: model.RouteId },
 ) => targets.CallResult | undefined;
@@ -30,7 +30,7 @@
   paused: boolean;
 }
 
-/** A call that was given a target. */
+/** A call for which a target was chosen. */
 export interface TestCall {
   readonly vm: number;
   readonly target: model.Target;
@@ -85,7 +85,7 @@
     return kernel.getDefined(this.vms[index], "The fleet has as many VMs.");
   }
 
-  /** The VM that coordinates the service while all VMs are seen as live. */
+  /** The VM that coordinates the service while all VMs are live in each other's view. */
   getCoordinator(): TestVm {
     const names = this.vms.map(({ identity }) => identity.vm);
     const [first] = fleet.rankOwners(`targets ${fixtures.SERVICE}`, names, 1);
@@ -121,12 +121,12 @@
     return call;
   }
 
-  /** Lets time pass, with requests at random VMs. */
-  async run(milliseconds: number, requestsForStep: number): Promise<void> {
+  /** Advances the clock, and makes requests at random VMs. */
+  async run(milliseconds: number, requestsPerStep: number): Promise<void> {
     for (let elapsed = 0; elapsed < milliseconds; elapsed += STEP_MILLISECONDS) {
       await this.clock.advance(STEP_MILLISECONDS, STEP_MILLISECONDS);
       this.#endCalls();
-      for (let count = 0; count < requestsForStep; count++) {
+      for (let count = 0; count < requestsPerStep; count++) {
         const index = Math.floor(this.random.next() * this.vms.length);
         if (!this.getVm(index).paused) {
           this.request(index, this.random.next() < 0.8);
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Stops what a VM hears and does. */
+  /** Pauses a VM: it makes no requests and receives no messages. */
   pause(vm: TestVm): void {
     vm.paused = true;
     this.hub.pause(vm.identity.vm);
@@ -148,7 +148,7 @@
     this.hub.resume(vm.identity.vm);
   }
 
-  /** Positions of the targets that a VM does not use. */
+  /** The targets that a VM does not use, without the leaving ones. */
   listOut(index: number, route = fixtures.ROUTE): model.TargetId[] {
     const { pool, configuration } = this.getVm(index);
     const inUse = new Set(pool.listInUse(fixtures.SERVICE, route).map(({ id }) => id));
@@ -156,7 +156,7 @@
     return declared.filter(({ id, leaving }) => !leaving && !inUse.has(id)).map(({ id }) => id);
   }
 
-  /** Ends all calls, the hanging ones too. */
+  /** Ends all calls, including those that would never end. */
   endAllCalls(): void {
     this.#endCalls(true);
     for (const end of this.#hanging.splice(0)) {
