--- a/packages/limits/bench/active_workspaces.ts
+++ b/packages/limits/bench/active_workspaces.ts
@@ -1,8 +1,8 @@
 /**
- * State and processor time by the number of active workspaces: `active_workspaces KNOWN ACTIVE`.
+ * Measures memory and CPU time per active workspace: `active_workspaces KNOWN ACTIVE`.
  *
- * Five VMs know KNOWN workspaces; one request for each of ACTIVE of them arrives at one VM within a
- * second, then all are silent. Run with --expose-gc.
+ * The configuration of five VMs declares KNOWN workspaces. One request for each of ACTIVE of them
+ * arrives at one VM within a second; no requests follow. Run with --expose-gc.
  */
 
 import process from "node:process";
@@ -57,7 +57,7 @@
   `known ${workspaces.length}, active ${active.length}: admitted ${fleet.admissions}, ` +
     `state ${activeDuring} entries, ${perWorkspace.toFixed(0)} bytes of heap per active one on ` +
     `all VMs, ${((used.user + used.system) / Math.max(active.length, 1)).toFixed(0)} us of CPU ` +
-    `per request on all VMs; after ${QUIET_MILLISECONDS / 1_000} s of silence ` +
+    `per request on all VMs; after ${QUIET_MILLISECONDS / 1_000} s without requests ` +
     `${await countActive(fleet)} entries, heap ${((after - before) / 1e6).toFixed(1)} MB above ` +
     `the start\n`,
 );
--- a/packages/limits/bench/fairness.ts
+++ b/packages/limits/bench/fairness.ts
@@ -1,5 +1,5 @@
 /**
- * How far one workspace at five times its rate moves the others' latency:
+ * Measures how far one workspace at five times its rate changes the latency of the others:
  * `fairness QUEUE SECONDS SEED LOAD SLOTS`, where QUEUE is fair or arrival and LOAD is the share of
  * the slots that all workspaces use together at their rates.
  */
@@ -29,7 +29,7 @@
   const queue = queueName === "fair"
     ? new limits.WeightedFairQueue(new kernel.Metrics())
     : new limits.ArrivalOrderQueue();
-  const played = new simulation.QueueSimulation(clock, queue, slots, Number(seedText));
+  const simulated = new simulation.QueueSimulation(clock, queue, slots, Number(seedText));
   const senders: simulation.Sender[] = [];
   for (let index = 0; index < WORKSPACES; index++) {
     const isFirst = index === 0;
@@ -40,9 +40,9 @@
       weight: 1,
     });
   }
-  await played.play(senders, Number(secondsText) * 1_000);
+  await simulated.run(senders, Number(secondsText) * 1_000);
   clock.restore();
-  for (const [group, result] of played.results) {
+  for (const [group, result] of simulated.results) {
     const p99 = result.latency.getQuantileMilliseconds(0.99);
     process.stdout.write(
       `first at ${factor} times its rate, ${group}: served ${result.served}, ` +
--- a/packages/limits/bench/fuzz.ts
+++ b/packages/limits/bench/fuzz.ts
@@ -1,8 +1,8 @@
 /**
- * Plays random histories for a given time: `fuzz SECONDS SEED [MARGIN]`.
+ * Runs random histories for a given time: `fuzz SECONDS SEED [MARGIN]`.
  *
- * Prints the seed and the shortest history of a failure. With the name of a margin it is switched
- * off, so that failures are expected.
+ * Prints the seed and the shortest history of a failure. MARGIN names a safety margin to disable,
+ * so that failures are expected.
  */
 
 import process from "node:process";
@@ -21,13 +21,13 @@
   [marginName]: marginName === "clockDrift" ? 0 : false,
 };
 
-async function playRound(seed: number): Promise<boolean> {
+async function runRound(seed: number): Promise<boolean> {
   const property = fastCheck.asyncProperty(
     histories.createHistories(MAXIMUM_STEPS),
     async (commands) => {
       const clock = new kernelTesting.TestClock();
       try {
-        await histories.playHistory(clock, margins, commands);
+        await histories.runHistory(clock, margins, commands);
       } finally {
         clock.restore();
       }
@@ -41,13 +41,13 @@
 }
 
 let seed = Number(seedText);
-let played = 0;
+let runCount = 0;
 while (process.uptime() - startedSeconds < Number(secondsText)) {
-  if (!await playRound(seed)) {
+  if (!await runRound(seed)) {
     process.exit(1);
   }
-  played += RUNS_PER_ROUND;
+  runCount += RUNS_PER_ROUND;
   seed++;
 }
-process.stdout.write(`${played} histories, seeds ${seedText} to ${seed - 1}: none failed\n`);
+process.stdout.write(`${runCount} histories, seeds ${seedText} to ${seed - 1}: none failed\n`);
 process.exit(0);
--- a/packages/limits/bench/gossip_limiter.ts
+++ b/packages/limits/bench/gossip_limiter.ts
@@ -1,6 +1,6 @@
 /**
- * A baseline that is not safe: every VM counts its own admissions in a bucket of the whole rate and
- * tells all others ten times a second what it took.
+ * An unsafe baseline: every VM counts its own admissions in a bucket with the whole rate and
+ * reports the tokens that it took to all others ten times a second.
  */
 
 import * as fleet from "@hemlockwalk/fleet";
@@ -23,7 +23,7 @@
   taken: number;
 }
 
-/** Admits from what this VM believes is left of the whole fleet's tokens. */
+/** Admits requests from this VM's estimate of the tokens that are left in the whole fleet. */
 export class GossipLimiter implements limits.RateLimiter {
   readonly #parts: limits.EscrowLimiterParts;
   readonly #accounts = new Map<model.WorkspaceId, Account>();
@@ -43,7 +43,7 @@
   }
 
   admit(workspace: model.Workspace): limits.RateDecision {
-    const account = this.#settle(workspace);
+    const account = this.#updateAccount(workspace);
     if (account.level < 1) {
       return neverthrow.err({ kind: "over_rate", retryAfterMilliseconds: 1_000 });
     }
@@ -52,7 +52,7 @@
     return neverthrow.ok();
   }
 
-  #settle(workspace: model.Workspace): Account {
+  #updateAccount(workspace: model.Workspace): Account {
     const now = kernel.getMonotonicMilliseconds();
     let account = this.#accounts.get(workspace.id);
     if (account === undefined) {
@@ -75,12 +75,12 @@
         }
       }
       if (entries.length > 0) {
-        this.#tell({ taken: entries });
+        this.#broadcast({ taken: entries });
       }
     }
   }
 
-  #tell(payload: zod.infer<typeof taken>): void {
+  #broadcast(payload: zod.infer<typeof taken>): void {
     for (const member of this.#parts.membership.listMembers()) {
       if (member.vm !== this.#parts.network.self.vm) {
         this.#parts.network.send(member.vm, CHANNEL, payload);
@@ -93,7 +93,7 @@
       const declared = this.#parts.configuration.getSnapshot()
         ?.findWorkspace(workspace as model.WorkspaceId);
       if (declared !== undefined) {
-        this.#settle(declared).level -= count;
+        this.#updateAccount(declared).level -= count;
       }
     }
   }
--- a/packages/limits/bench/refusals.ts
+++ b/packages/limits/bench/refusals.ts
@@ -1,11 +1,11 @@
 /**
- * Refusals within the rate, overshoot, waits and traffic of the limiters, side by side:
- * `refusals SCENARIO LIMITER VMS LOAD SECONDS SEED [RESERVED_SHARE] [WORKSPACES_PER_RATE]
- * [RATES] [MINIMUM_BURST]`.
+ * Compares limiters by refusals within the rate, overshoot, waits and traffic: `refusals SCENARIO
+ * LIMITER VMS LOAD SECONDS SEED [RESERVED_SHARE] [WORKSPACES_PER_RATE] [RATES] [MINIMUM_BURST]`.
  *
  * SCENARIO is even, skewed, moving, lost, replaced, stopped or partition; LIMITER is escrow, static
- * or gossip; LOAD is the share of the rate that arrives. Each arrival also goes to one independent
- * bucket; refusals within the rate are the fleet's less those of that bucket.
+ * or gossip; LOAD is the rate of arrivals as a share of the declared rate. Each arrival also goes
+ * to one independent reference bucket; refusals within the rate are the refusals of the fleet minus
+ * those of that bucket.
  */
 
 import process from "node:process";
@@ -50,9 +50,9 @@
   refused: number;
   referenceRefused: number;
   waited: number;
-  lateArrivals: number;
-  lateRefused: number;
-  lateReferenceRefused: number;
+  arrivalsAfterEvent: number;
+  refusedAfterEvent: number;
+  referenceRefusedAfterEvent: number;
 }
 
 const clock = new kernelTesting.TestClock();
@@ -70,9 +70,9 @@
       refused: 0,
       referenceRefused: 0,
       waited: 0,
-      lateArrivals: 0,
-      lateRefused: 0,
-      lateReferenceRefused: 0,
+      arrivalsAfterEvent: 0,
+      refusedAfterEvent: 0,
+      referenceRefusedAfterEvent: 0,
     });
   }
 }
@@ -115,19 +115,19 @@
   return kernel.getDefined(alive[index % alive.length], "A VM is alive.");
 }
 
-function arrive(tally: Tally, elapsed: number): void {
-  const isLate = elapsed >= EVENT_MILLISECONDS && elapsed < EVENT_MILLISECONDS + 10_000;
+function sendRequest(tally: Tally, elapsed: number): void {
+  const isAfterEvent = elapsed >= EVENT_MILLISECONDS && elapsed < EVENT_MILLISECONDS + 10_000;
   const now = kernel.getMonotonicMilliseconds();
   tally.arrivals++;
-  tally.lateArrivals += isLate ? 1 : 0;
+  tally.arrivalsAfterEvent += isAfterEvent ? 1 : 0;
   if (!tally.reference.tryTake(1, now)) {
     tally.referenceRefused++;
-    tally.lateReferenceRefused += isLate ? 1 : 0;
+    tally.referenceRefusedAfterEvent += isAfterEvent ? 1 : 0;
   }
   fleet.request(chooseVm(elapsed), tally.workspace.id, (admitted, waited) => {
     if (!admitted) {
       tally.refused++;
-      tally.lateRefused += isLate ? 1 : 0;
+      tally.refusedAfterEvent += isAfterEvent ? 1 : 0;
     }
     if (waited > 0) {
       tally.waited++;
@@ -136,8 +136,8 @@
   });
 }
 
-/** What happens besides load, at the given times after the start of the measurement. */
-function act(elapsed: number): void {
+/** Causes the events of the scenario at the given time after the start of the measurement. */
+function causeEvents(elapsed: number): void {
   const victim = kernel.getDefined(fleet.vms[Number(seedText) % vmCount], "The VM exists.");
   if (scenario === "partition" && elapsed === EVENT_MILLISECONDS) {
     cutInTwo();
@@ -156,7 +156,10 @@
   }
 }
 
-/** Two fifths of the VMs are cut off from the rest, and both sides notice. */
+/**
+ * Cuts two fifths of the VMs off from the rest. Both sides update their members after the detection
+ * time.
+ */
 function cutInTwo(): void {
   const small = new Set(fleet.vms.slice(0, Math.floor(vmCount * 0.4)));
   for (const from of fleet.vms) {
@@ -176,13 +179,13 @@
   }, DETECTION_MILLISECONDS);
 }
 
-async function play(): Promise<void> {
+async function run(): Promise<void> {
   const next = tallies.map((tally) => drawGap(tally.workspace.rate * load));
   for (let elapsed = 0; elapsed < milliseconds; elapsed++) {
-    act(elapsed);
+    causeEvents(elapsed);
     for (const [index, tally] of tallies.entries()) {
       while ((next[index] ?? 0) <= elapsed) {
-        arrive(tally, elapsed);
+        sendRequest(tally, elapsed);
         next[index] = (next[index] ?? 0) + drawGap(tally.workspace.rate * load);
       }
     }
@@ -200,8 +203,10 @@
     chosen.reduce((total, tally) => total + read(tally), 0);
   const arrivals = sum((tally) => tally.arrivals);
   const excess = sum((tally) => tally.refused - tally.referenceRefused);
-  const lateArrivals = sum((tally) => tally.lateArrivals);
-  const lateExcess = sum((tally) => tally.lateRefused - tally.lateReferenceRefused);
+  const arrivalsAfterEvent = sum((tally) => tally.arrivalsAfterEvent);
+  const excessAfterEvent = sum((tally) =>
+    tally.refusedAfterEvent - tally.referenceRefusedAfterEvent
+  );
   const waited = sum((tally) => tally.waited);
   const violations = chosen.reduce(
     (total, tally) => total + (fleet.oracles.get(tally.workspace.id)?.violations ?? 0),
@@ -209,7 +214,7 @@
   );
   process.stdout.write(
     `${label}: arrivals ${arrivals}, refused within rate ${formatPercent(excess, arrivals)}, ` +
-      `in the 10 s after 5 s ${formatPercent(lateExcess, lateArrivals)}, ` +
+      `in the 10 s after 5 s ${formatPercent(excessAfterEvent, arrivalsAfterEvent)}, ` +
       `waited ${formatPercent(waited, arrivals)}, overshoot ${violations}\n`,
   );
 }
@@ -218,7 +223,7 @@
 const frames = fleet.hub.frames;
 const bytes = fleet.hub.bytes;
 const cpu = process.cpuUsage();
-await play();
+await run();
 const used = process.cpuUsage(cpu);
 for (const rate of rates) {
   report(`rate ${rate}`, tallies.filter((tally) => tally.workspace.rate === rate));
--- a/packages/limits/src/arrival_order_queue.ts
+++ b/packages/limits/src/arrival_order_queue.ts
@@ -1,6 +1,6 @@
 /**
- * A queue that serves requests in the order of their arrival, whoever sent them. The baseline of the
- * fair queue.
+ * A queue that serves requests in order of arrival, regardless of their workspace. The baseline for
+ * the fair queue.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -12,14 +12,14 @@
 const MAXIMUM_WAITING = 1_000;
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
-interface Waiting {
-  /** Takes a slot and ends the wait; false while none is free. */
-  readonly attempt: () => boolean;
+interface WaitingRequest {
+  /** Acquires a slot and ends the wait. Returns false if no slot is free. */
+  readonly tryStart: () => boolean;
 }
 
-/** Serves the requests of a service in the order of their arrival. */
+/** Serves the requests of a service in order of arrival. */
 export class ArrivalOrderQueue implements types.FairQueue {
-  readonly #waiting = new Map<model.ServiceId, Waiting[]>();
+  readonly #waiting = new Map<model.ServiceId, WaitingRequest[]>();
 
   enter<Lease>(
     request: types.QueueRequest<Lease>,
@@ -32,18 +32,18 @@
     if (queue.length >= MAXIMUM_WAITING) {
       return Promise.resolve(neverthrow.err(createRefusal("queue_full")));
     }
-    return this.#wait(queue, request);
+    return this.#waitForSlot(queue, request);
   }
 
   notifyCapacity(service: model.ServiceId): void {
     const queue = this.#getQueue(service);
-    while (queue[0]?.attempt()) {
-      // Each attempt that succeeds removes itself from the queue.
+    while (queue[0]?.tryStart()) {
+      // Each request that starts removes itself from the queue.
     }
   }
 
-  #wait<Lease>(
-    queue: Waiting[],
+  #waitForSlot<Lease>(
+    queue: WaitingRequest[],
     request: types.QueueRequest<Lease>,
   ): Promise<neverthrow.Result<Lease, errors.QueueRefusal>> {
     return new Promise((resolve) => {
@@ -53,8 +53,8 @@
         request.signal.removeEventListener("abort", onAbort);
         resolve(result);
       };
-      const waiting: Waiting = {
-        attempt: () => {
+      const waiting: WaitingRequest = {
+        tryStart: () => {
           const lease = request.tryAcquire();
           if (lease === undefined) {
             return false;
@@ -73,7 +73,7 @@
     });
   }
 
-  #getQueue(service: model.ServiceId): Waiting[] {
+  #getQueue(service: model.ServiceId): WaitingRequest[] {
     let queue = this.#waiting.get(service);
     if (queue === undefined) {
       queue = [];
@@ -87,5 +87,5 @@
   return { kind, retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS };
 }
 
-/** The name under which the queue is found. */
+/** Service name of the fair queue. */
 export const FAIR_QUEUE = kernel.createServiceName<types.FairQueue>("fair-queue");
--- a/packages/limits/src/coordinator.ts
+++ b/packages/limits/src/coordinator.ts
@@ -1,8 +1,10 @@
 /**
- * A VM as coordinator: it claims shards, keeps the tokens of their workspaces and grants them.
+ * The coordinator role of a VM: it claims shards, keeps the token buckets of their workspaces and
+ * grants tokens.
  *
- * A shard is given up in order: for one grant lifetime all grants end with that time; then the
- * levels are set aside, the votes are released, and the successor gets the levels with its votes.
+ * A shard is released in steps. For one grant lifetime, all new grants expire by the end of that
+ * time. Then the coordinator stores the levels for the handover and releases its votes, and its
+ * successor receives the levels with this VM's vote.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
@@ -16,23 +18,23 @@
 import * as authorities from "./shard_authority.ts";
 import * as shards from "./shards.ts";
 
-/** Share of what is left after the waiting requests that one request may take ahead of need. */
-const AHEAD_SHARE = 0.125;
+/** Share of the tokens left after the waiting requests that one request may prefetch. */
+const PREFETCH_SHARE = 0.125;
 
-/** From this many tokens on, single ones are granted ahead of a need that is not certain. */
-const PLENTY_TOKENS = 40;
+/** Least number of tokens left at which tokens are prefetched for uncertain demand. */
+const UNCERTAIN_PREFETCH_TOKENS = 40;
 
-/** Grants shorter than this are spent by nobody. */
-const SHORTEST_GRANT_MILLISECONDS = 5;
+/** A shorter grant would expire before a VM could spend it. */
+const MINIMUM_GRANT_MILLISECONDS = 5;
 
 interface CoordinatedShard {
   readonly authority: authorities.ShardAuthority;
   readonly buckets: Map<model.WorkspaceId, buckets.PooledBucket>;
-  /** When this VM gives the shard up; undefined while it means to keep it. */
-  closingMilliseconds: number | undefined;
+  /** When this VM releases the shard; undefined while it keeps the shard. */
+  releaseMilliseconds: number | undefined;
 }
 
-interface SetAside {
+interface PendingHandover {
   readonly handover: messages.Handover;
   readonly sinceMilliseconds: number;
 }
@@ -41,28 +43,28 @@
 export class Coordinator {
   readonly #configuration: configuration.ConfigurationService;
   readonly #margins: safety.SafetyMargins;
-  readonly #recent: policies.RecentConfigurations;
+  readonly #recentConfigurations: policies.RecentConfigurations;
   readonly #metrics: limiterMetrics.LimiterMetrics;
   readonly #shards = new Map<number, CoordinatedShard>();
-  readonly #setAside = new Map<number, SetAside>();
-  /** Levels that came before the votes. */
-  readonly #received = new Map<number, SetAside>();
-  #lastGrant = 0;
+  readonly #outgoingHandovers = new Map<number, PendingHandover>();
+  /** Handovers received before the votes of a majority. */
+  readonly #incomingHandovers = new Map<number, PendingHandover>();
+  #lastGrantId = 0;
 
   constructor(
     configurationService: configuration.ConfigurationService,
-    recent: policies.RecentConfigurations,
+    recentConfigurations: policies.RecentConfigurations,
     margins: safety.SafetyMargins,
     metrics: limiterMetrics.LimiterMetrics,
   ) {
     this.#configuration = configurationService;
-    this.#recent = recent;
+    this.#recentConfigurations = recentConfigurations;
     this.#margins = margins;
     this.#metrics = metrics;
   }
 
-  /** Workspaces for which state is kept. */
-  get activeWorkspaces(): number {
+  /** Number of workspaces for which state is kept. */
+  get activeWorkspaceCount(): number {
     let count = 0;
     for (const shard of this.#shards.values()) {
       count += shard.buckets.size;
@@ -70,8 +72,8 @@
     return count;
   }
 
-  /** Shards whose pooled part this VM may spend. */
-  countAuthorities(nowMilliseconds: number): number {
+  /** Number of shards whose pooled part this VM may spend. */
+  countMajorities(nowMilliseconds: number): number {
     let count = 0;
     for (const { authority } of this.#shards.values()) {
       authority.advance(nowMilliseconds);
@@ -80,28 +82,28 @@
     return count;
   }
 
-  /** The shards for which this VM asks for votes. */
+  /** The shards for which this VM requests votes. */
   listClaims(): number[] {
     return [...this.#shards.keys()];
   }
 
-  /** Whether a claimed shard still lacks its majority. */
-  isIncomplete(nowMilliseconds: number): boolean {
-    return this.countAuthorities(nowMilliseconds) < this.#shards.size;
+  /** Whether any claimed shard lacks a majority. */
+  lacksAnyMajority(nowMilliseconds: number): boolean {
+    return this.countMajorities(nowMilliseconds) < this.#shards.size;
   }
 
-  /** Whether a shard is claimed that lacks its majority. */
-  isWaitingFor(shard: number, nowMilliseconds: number): boolean {
+  /** Whether this VM claims a shard and lacks a majority for it. */
+  lacksMajority(shard: number, nowMilliseconds: number): boolean {
     const authority = this.#shards.get(shard)?.authority;
     authority?.advance(nowMilliseconds);
     return authority !== undefined && !authority.hasMajority;
   }
 
-  /** Starts to claim a shard, or goes on claiming it after all. */
+  /** Starts to claim a shard, or cancels its release. */
   claim(shard: number, nowMilliseconds: number): void {
-    const known = this.#shards.get(shard);
-    if (known !== undefined) {
-      known.closingMilliseconds = undefined;
+    const coordinated = this.#shards.get(shard);
+    if (coordinated !== undefined) {
+      coordinated.releaseMilliseconds = undefined;
       return;
     }
     const authority = new authorities.ShardAuthority(
@@ -109,31 +111,38 @@
       this.#margins,
       nowMilliseconds,
     );
-    this.#setAside.delete(shard);
-    this.#shards.set(shard, { authority, buckets: new Map(), closingMilliseconds: undefined });
+    this.#outgoingHandovers.delete(shard);
+    this.#shards.set(shard, { authority, buckets: new Map(), releaseMilliseconds: undefined });
   }
 
-  /** Starts to give a shard up. */
-  close(shard: number, nowMilliseconds: number): void {
-    const known = this.#shards.get(shard);
-    if (known !== undefined) {
-      known.closingMilliseconds ??= nowMilliseconds + safety.GRANT_LIFETIME_MILLISECONDS;
+  /** Starts to release a shard. */
+  startRelease(shard: number, nowMilliseconds: number): void {
+    const coordinated = this.#shards.get(shard);
+    if (coordinated !== undefined) {
+      coordinated.releaseMilliseconds ??= nowMilliseconds + safety.GRANT_LIFETIME_MILLISECONDS;
     }
   }
 
-  /** Drops shards whose closing is over, setting their levels aside; true when there were any. */
-  finishClosing(nowMilliseconds: number): boolean {
+  /**
+   * Releases the shards whose release is due and stores their levels for the handover. Returns
+   * whether there were any.
+   */
+  finishReleases(nowMilliseconds: number): boolean {
     let released = false;
-    for (const [shard, known] of this.#shards) {
-      if ((known.closingMilliseconds ?? Number.POSITIVE_INFINITY) <= nowMilliseconds) {
-        this.#release(shard, known, nowMilliseconds);
+    for (const [shard, coordinated] of this.#shards) {
+      if ((coordinated.releaseMilliseconds ?? Number.POSITIVE_INFINITY) <= nowMilliseconds) {
+        this.#release(shard, coordinated, nowMilliseconds);
         released = true;
       }
     }
     return released;
   }
 
-  /** Adds votes that were asked for at the given time. */
+  /**
+   * Adds the votes of a reply.
+   *
+   * @param sentMilliseconds When the request for the votes was sent.
+   */
   addVotes(
     voter: model.VmId,
     answer: messages.LeaseAnswer,
@@ -141,175 +150,196 @@
     sentMilliseconds: number,
     nowMilliseconds: number,
   ): void {
-    const lifetime = safety.getReceiverMilliseconds(leaseMilliseconds, this.#margins);
+    const lifetime = safety.getReceiverLifetimeMilliseconds(leaseMilliseconds, this.#margins);
     const expiry = sentMilliseconds + lifetime;
     for (const shard of answer.shards) {
       const authority = this.#shards.get(shard)?.authority;
       authority?.addVote(voter, expiry, answer.vmLimit, nowMilliseconds);
     }
     for (const handover of answer.handovers ?? []) {
-      this.#received.set(handover.shard, { handover, sinceMilliseconds: sentMilliseconds });
+      this.#incomingHandovers.set(handover.shard, {
+        handover,
+        sinceMilliseconds: sentMilliseconds,
+      });
     }
     this.#adoptReceived(nowMilliseconds);
   }
 
-  /** Gives out the levels of a shard that were set aside. They are deducted by that. */
-  takeHandover(shard: number, nowMilliseconds: number): messages.Handover | undefined {
-    const setAside = this.#setAside.get(shard);
-    if (setAside === undefined) {
+  /**
+   * Returns the stored levels of a shard for the handover and removes them, which deducts them
+   * here.
+   */
+  consumeHandover(shard: number, nowMilliseconds: number): messages.Handover | undefined {
+    const outgoing = this.#outgoingHandovers.get(shard);
+    if (outgoing === undefined) {
       return undefined;
     }
-    const age = nowMilliseconds - setAside.sinceMilliseconds;
-    if (age > safety.HANDOVER_MILLISECONDS) {
-      this.#setAside.delete(shard);
+    const age = nowMilliseconds - outgoing.sinceMilliseconds;
+    if (age > safety.HANDOVER_VALIDITY_MILLISECONDS) {
+      this.#outgoingHandovers.delete(shard);
       return undefined;
     }
     if (this.#margins.deductionBeforeSending) {
-      this.#setAside.delete(shard);
+      this.#outgoingHandovers.delete(shard);
     }
     this.#metrics.handovers.inc({ result: "sent" });
-    return setAside.handover;
+    return outgoing.handover;
   }
 
-  /** Takes a token for a request of this VM; undefined when this VM has no say on the shard. */
+  /**
+   * Takes a token for a request of this VM. Returns undefined if this VM has no token and no
+   * majority for the shard, and so cannot decide.
+   */
   tryTake(workspace: model.Workspace, nowMilliseconds: number): boolean | undefined {
-    const known = this.#shards.get(shards.getShard(workspace.id));
-    if (known === undefined) {
+    const coordinated = this.#shards.get(shards.getShard(workspace.id));
+    if (coordinated === undefined) {
       return undefined;
     }
-    known.authority.advance(nowMilliseconds);
-    if (known.authority.isEmpty) {
+    coordinated.authority.advance(nowMilliseconds);
+    if (coordinated.authority.isEmpty) {
       return undefined;
     }
-    const taken = this.#getBucket(known, workspace, nowMilliseconds).tryTake(nowMilliseconds);
-    return taken || known.authority.hasMajority ? taken : undefined;
+    const taken = this.#getBucket(coordinated, workspace, nowMilliseconds).tryTake(nowMilliseconds);
+    return taken || coordinated.authority.hasMajority ? taken : undefined;
   }
 
-  /** Milliseconds until the workspace has a whole token here. */
+  /** Milliseconds until the workspace has a whole token at this coordinator. */
   getWaitMilliseconds(workspace: model.Workspace, nowMilliseconds: number): number {
-    const known = this.#shards.get(shards.getShard(workspace.id));
-    if (known === undefined) {
+    const coordinated = this.#shards.get(shards.getShard(workspace.id));
+    if (coordinated === undefined) {
       return 0;
     }
-    return this.#getBucket(known, workspace, nowMilliseconds).getWaitMilliseconds(nowMilliseconds);
+    return this.#getBucket(coordinated, workspace, nowMilliseconds).getWaitMilliseconds(
+      nowMilliseconds,
+    );
   }
 
-  /** Answers a VM that asks for tokens. */
-  grant(ask: messages.Ask, nowMilliseconds: number): messages.Grant {
-    const id = ask.workspace as model.WorkspaceId;
-    const known = this.#shards.get(shards.getShard(id));
+  /** Grants tokens in reply to a request of a VM. */
+  grant(request: messages.TokenRequest, nowMilliseconds: number): messages.Grant {
+    const id = request.workspace as model.WorkspaceId;
+    const coordinated = this.#shards.get(shards.getShard(id));
     const workspace = this.#configuration.getSnapshot()?.findWorkspace(id);
-    known?.authority.advance(nowMilliseconds);
-    const lifetimeMilliseconds = known === undefined
+    coordinated?.authority.advance(nowMilliseconds);
+    const lifetimeMilliseconds = coordinated === undefined
       ? 0
-      : this.#getLifetime(known, nowMilliseconds);
+      : this.#getGrantLifetime(coordinated, nowMilliseconds);
     if (
-      known === undefined || workspace === undefined || known.authority.isEmpty ||
-      lifetimeMilliseconds < SHORTEST_GRANT_MILLISECONDS
+      coordinated === undefined || workspace === undefined || coordinated.authority.isEmpty ||
+      lifetimeMilliseconds < MINIMUM_GRANT_MILLISECONDS
     ) {
       this.#metrics.grants.inc({ result: "no_authority" });
       return { workspace: id, grant: 0, tokens: 0, lifetimeMilliseconds: 0 };
     }
-    const bucket = this.#getBucket(known, workspace, nowMilliseconds);
-    const tokens = chooseTokens(ask, bucket.getLevel(nowMilliseconds));
+    const bucket = this.#getBucket(coordinated, workspace, nowMilliseconds);
+    const tokens = chooseTokens(request, bucket.getLevel(nowMilliseconds));
     if (tokens > 0) {
-      this.#lastGrant++;
-      bucket.lend(this.#lastGrant, tokens, nowMilliseconds + lifetimeMilliseconds);
+      this.#lastGrantId++;
+      bucket.addGrant(this.#lastGrantId, tokens, nowMilliseconds + lifetimeMilliseconds);
     }
-    this.#metrics.grants.inc({ result: tokens < ask.waiting ? "short" : "full" });
+    this.#metrics.grants.inc({ result: tokens < request.waiting ? "short" : "full" });
     this.#metrics.grantedTokens.inc(tokens);
-    const grant = { workspace: id, grant: this.#lastGrant, tokens, lifetimeMilliseconds };
-    return known.authority.hasMajority
+    const grant = { workspace: id, grant: this.#lastGrantId, tokens, lifetimeMilliseconds };
+    return coordinated.authority.hasMajority
       ? { ...grant, retryAfterMilliseconds: Math.ceil(bucket.getWaitMilliseconds(nowMilliseconds)) }
       : grant;
   }
 
-  /** Takes unused tokens back. */
-  takeBack(returned: messages.Returned, nowMilliseconds: number): void {
-    const id = returned.workspace as model.WorkspaceId;
+  /** Ends a grant and adds its unused tokens to their bucket. */
+  endGrant(end: messages.GrantReturn, nowMilliseconds: number): void {
+    const id = end.workspace as model.WorkspaceId;
     const bucket = this.#shards.get(shards.getShard(id))?.buckets.get(id);
-    const taken = bucket?.takeBack(returned.grant, returned.tokens, nowMilliseconds) ?? false;
-    this.#metrics.returnedTokens.inc({ result: taken ? "taken" : "late" }, returned.tokens);
+    const taken = bucket?.endGrant(end.grant, end.tokens, nowMilliseconds) ?? false;
+    this.#metrics.returnedTokens.inc({ result: taken ? "taken" : "late" }, end.tokens);
   }
 
-  /** Brings buckets with outstanding grants up to date and forgets idle ones. */
+  /** Updates all buckets and removes idle ones. */
   sweep(nowMilliseconds: number): void {
-    for (const known of this.#shards.values()) {
-      known.authority.configure(this.#getVmLimit(), nowMilliseconds);
-      for (const [workspace, bucket] of known.buckets) {
-        const quiet = nowMilliseconds - bucket.touchedMilliseconds >
+    for (const coordinated of this.#shards.values()) {
+      coordinated.authority.configure(this.#getVmLimit(), nowMilliseconds);
+      for (const [workspace, bucket] of coordinated.buckets) {
+        const isUnused = nowMilliseconds - bucket.lastUsedMilliseconds >
           safety.GRANT_LIFETIME_MILLISECONDS;
-        if (bucket.isIdle(nowMilliseconds) && quiet) {
-          known.buckets.delete(workspace);
+        if (bucket.isIdle(nowMilliseconds) && isUnused) {
+          coordinated.buckets.delete(workspace);
         }
       }
     }
   }
 
-  #getLifetime(known: CoordinatedShard, nowMilliseconds: number): number {
+  #getGrantLifetime(coordinated: CoordinatedShard, nowMilliseconds: number): number {
     const longest = safety.GRANT_LIFETIME_MILLISECONDS;
     if (!this.#margins.accrualAfterExpiry) {
       return longest;
     }
-    const closing = known.closingMilliseconds ?? Number.POSITIVE_INFINITY;
-    const end = known.authority.hasMajority
-      ? known.authority.getEndMilliseconds(nowMilliseconds)
+    const releaseMilliseconds = coordinated.releaseMilliseconds ?? Number.POSITIVE_INFINITY;
+    const end = coordinated.authority.hasMajority
+      ? coordinated.authority.getMajorityEndMilliseconds(nowMilliseconds)
       : Number.POSITIVE_INFINITY;
-    return Math.floor(Math.min(longest, closing - nowMilliseconds, end - nowMilliseconds));
+    return Math.floor(
+      Math.min(longest, releaseMilliseconds - nowMilliseconds, end - nowMilliseconds),
+    );
   }
 
   #getBucket(
-    known: CoordinatedShard,
+    coordinated: CoordinatedShard,
     workspace: model.Workspace,
     nowMilliseconds: number,
   ): buckets.PooledBucket {
     // Only the coordinator's own configuration counts for its buckets.
     const current = this.#configuration.getSnapshot()?.findWorkspace(workspace.id) ?? workspace;
-    const reservedShare = this.#recent.getShare(current, nowMilliseconds);
-    let bucket = known.buckets.get(workspace.id);
+    const reservedShare = this.#recentConfigurations.getShare(current, nowMilliseconds);
+    let bucket = coordinated.buckets.get(workspace.id);
     if (bucket === undefined) {
-      bucket = new buckets.PooledBucket(current, reservedShare, known.authority, this.#margins);
-      known.buckets.set(workspace.id, bucket);
+      bucket = new buckets.PooledBucket(
+        current,
+        reservedShare,
+        coordinated.authority,
+        this.#margins,
+      );
+      coordinated.buckets.set(workspace.id, bucket);
     }
     bucket.configure(current, reservedShare, nowMilliseconds);
-    bucket.touchedMilliseconds = nowMilliseconds;
+    bucket.lastUsedMilliseconds = nowMilliseconds;
     return bucket;
   }
 
-  #release(shard: number, known: CoordinatedShard, nowMilliseconds: number): void {
-    const { authority } = known;
+  #release(shard: number, coordinated: CoordinatedShard, nowMilliseconds: number): void {
+    const { authority } = coordinated;
     authority.advance(nowMilliseconds);
-    if (authority.hasMajority && known.buckets.size <= messages.MAXIMUM_HANDOVER_LEVELS) {
-      const levels = [...known.buckets].map(([workspace, bucket]) => ({
+    if (authority.hasMajority && coordinated.buckets.size <= messages.MAXIMUM_HANDOVER_LEVELS) {
+      const levels = [...coordinated.buckets].map(([workspace, bucket]) => ({
         workspace,
         level: bucket.getLevel(nowMilliseconds),
       }));
-      const drops = authority.listDropsBefore();
+      const drops = authority.listRelativeDrops();
       const handover = { shard, levels, drops };
-      this.#setAside.set(shard, { handover, sinceMilliseconds: nowMilliseconds });
+      this.#outgoingHandovers.set(shard, { handover, sinceMilliseconds: nowMilliseconds });
     }
     authority.release(nowMilliseconds);
     this.#shards.delete(shard);
   }
 
   #adoptReceived(nowMilliseconds: number): void {
-    for (const [shard, received] of this.#received) {
-      const known = this.#shards.get(shard);
-      known?.authority.advance(nowMilliseconds);
+    for (const [shard, received] of this.#incomingHandovers) {
+      const coordinated = this.#shards.get(shard);
+      coordinated?.authority.advance(nowMilliseconds);
       const age = nowMilliseconds - received.sinceMilliseconds;
-      // After a second gain the levels could be counted twice.
-      if (known === undefined || age > safety.HANDOVER_MILLISECONDS || known.authority.gains > 1) {
+      // After the majority was gained a second time, the levels could be counted twice.
+      if (
+        coordinated === undefined || age > safety.HANDOVER_VALIDITY_MILLISECONDS ||
+        coordinated.authority.gainCount > 1
+      ) {
         this.#metrics.handovers.inc({ result: "dropped" });
-        this.#received.delete(shard);
-      } else if (known.authority.hasMajority) {
-        this.#received.delete(shard);
-        this.#adopt(known, received.handover, nowMilliseconds);
+        this.#incomingHandovers.delete(shard);
+      } else if (coordinated.authority.hasMajority) {
+        this.#incomingHandovers.delete(shard);
+        this.#adopt(coordinated, received.handover, nowMilliseconds);
       }
     }
   }
 
   #adopt(
-    known: CoordinatedShard,
+    coordinated: CoordinatedShard,
     handover: messages.Handover,
     nowMilliseconds: number,
   ): void {
@@ -317,18 +347,20 @@
       workspace: this.#configuration.getSnapshot()?.findWorkspace(id as model.WorkspaceId),
       level,
     }));
-    // A workspace that this VM does not know yet would later count as one that was silent.
+    // A workspace that is not in this VM's configuration yet would later be treated as one that was
+    // idle, with a higher level than it has.
     if (levels.some(({ workspace }) => workspace === undefined)) {
       this.#metrics.handovers.inc({ result: "unknown_workspace" });
       return;
     }
     this.#metrics.handovers.inc({ result: "adopted" });
-    // The listed ones must exist before the others' bounds are known, which are higher.
+    // The buckets of the listed workspaces must exist before the bounds for all others, which are
+    // higher, are adopted.
     for (const { workspace, level } of levels) {
       kernel.assert(workspace !== undefined, "All workspaces were found.");
-      this.#getBucket(known, workspace, nowMilliseconds).adopt(level, nowMilliseconds);
+      this.#getBucket(coordinated, workspace, nowMilliseconds).adopt(level, nowMilliseconds);
     }
-    known.authority.adoptDrops(handover.drops);
+    coordinated.authority.adoptDrops(handover.drops);
   }
 
   #getVmLimit(): number {
@@ -336,14 +368,14 @@
   }
 }
 
-function chooseTokens(ask: messages.Ask, level: number): number {
+function chooseTokens(request: messages.TokenRequest, level: number): number {
   const available = Math.floor(level + 1e-9);
-  if (available <= ask.waiting) {
+  if (available <= request.waiting) {
     return available;
   }
-  const left = available - ask.waiting;
-  // A VM that hardly needs a token gets one only where many are left for the others.
-  const isWorthwhile = ask.onlyFromPlenty !== true || left >= PLENTY_TOKENS;
-  const ahead = isWorthwhile ? Math.floor(left * AHEAD_SHARE) : 0;
-  return ask.waiting + Math.min(ask.ahead, ahead);
+  const left = available - request.waiting;
+  // A VM with uncertain demand gets a token only if many are left for the others.
+  const isWorthwhile = request.onlyFromPlenty !== true || left >= UNCERTAIN_PREFETCH_TOKENS;
+  const prefetched = isWorthwhile ? Math.floor(left * PREFETCH_SHARE) : 0;
+  return request.waiting + Math.min(request.ahead, prefetched);
 }
--- a/packages/limits/src/create_rate_limiter.ts
+++ b/packages/limits/src/create_rate_limiter.ts
@@ -10,11 +10,12 @@
 import type * as types from "./types.ts";
 
 /**
- * Creates the limiter that pools rates over the fleet, or, on a VM without peer links, the one that
- * spends this VM's fixed share. Both keep the promise whatever `vmLimit` the release notes give.
+ * Creates the limiter that pools rates over the fleet or, on a VM without peer links, the limiter
+ * that spends this VM's fixed share. Both stay within rate and burst for any `vmLimit` that a
+ * release note sets.
  *
- * @param services Holds the configuration and the metrics, and where there are peers their network
- * and the membership.
+ * @param services Provides the configuration and the metrics and, on a VM with peers, the peer
+ * network and the membership.
  */
 export function createRateLimiter(
   services: kernel.Kernel,
--- a/packages/limits/src/errors.ts
+++ b/packages/limits/src/errors.ts
@@ -8,7 +8,9 @@
   readonly retryAfterMilliseconds: number;
 }
 
-/** The request found no slot in time. */
+/**
+ * The request got no slot: its queue was full, its deadline came first, or its caller cancelled it.
+ */
 export interface QueueRefusal {
   readonly kind: "queue_full" | "queue_timeout" | "cancelled";
   readonly retryAfterMilliseconds: number;
--- a/packages/limits/src/escrow_limiter.ts
+++ b/packages/limits/src/escrow_limiter.ts
@@ -1,7 +1,7 @@
 /**
- * Rates and bursts over the whole fleet: a small part of each is held by every VM by right, the rest
- * is pooled at one coordinator per shard of workspaces, which more than half of the VMs have voted
- * for, and granted to VMs for a short time as they need it.
+ * A rate limiter for the whole fleet. A small part of each workspace's rate and burst is reserved
+ * and divided between all VMs. The rest is pooled at one coordinator per shard of workspaces, which
+ * has the votes of more than half of the VMs and grants tokens to VMs for a short time on demand.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
@@ -21,7 +21,7 @@
 import * as safety from "./safety_margins.ts";
 import type * as types from "./types.ts";
 
-/** What the limiter needs of its VM. */
+/** Services of the VM that the limiter uses. */
 export interface EscrowLimiterParts {
   readonly configuration: configuration.ConfigurationService;
   readonly network: fleet.PeerNetwork;
@@ -30,20 +30,23 @@
   readonly logger: kernel.PartLogger;
 }
 
-/** What tests and measurements change. */
+/** Options for tests and benchmarks. */
 export interface EscrowLimiterOptions {
   readonly margins?: safety.SafetyMargins;
   readonly reservedPolicy?: policies.ReservedPolicy;
-  /** Monotonic milliseconds; a test gives each VM a clock of its own speed. */
+  /** Monotonic time in milliseconds; a test gives each VM a clock with its own speed. */
   readonly now?: () => number;
 }
 
 const SWEEP_MILLISECONDS = 200;
 
-/** Retry time while no coordinator is known to have a majority. */
+/** Retry time while no coordinator with a majority is known. */
 const NO_COORDINATOR_MILLISECONDS = 500;
 
-/** Admits requests from grants, from shards that this VM coordinates, or from its own share. */
+/**
+ * Admits requests with tokens from grants, from shards that this VM coordinates, or from its own
+ * share.
+ */
 export class EscrowLimiter implements types.RateLimiter {
   readonly #configuration: configuration.ConfigurationService;
   readonly #network: fleet.PeerNetwork;
@@ -56,7 +59,7 @@
   readonly #client: clients.GrantClient;
   readonly #paths: paths.GrantPaths;
   readonly #reserved: reserved.ReservedShares;
-  readonly #recent: policies.RecentConfigurations;
+  readonly #recentConfigurations: policies.RecentConfigurations;
   readonly #stopping = new AbortController();
 
   constructor(parts: EscrowLimiterParts, options: EscrowLimiterOptions = {}) {
@@ -66,14 +69,14 @@
     this.#margins = options.margins ?? safety.SAFETY_MARGINS;
     this.#now = options.now ?? kernel.getMonotonicMilliseconds;
     const policy = options.reservedPolicy ?? policies.RESERVED_POLICY;
-    this.#recent = new policies.RecentConfigurations(policy);
+    this.#recentConfigurations = new policies.RecentConfigurations(policy);
     this.#coordinator = new coordinators.Coordinator(
       parts.configuration,
-      this.#recent,
+      this.#recentConfigurations,
       this.#margins,
       this.#metrics,
     );
-    this.#reserved = new reserved.ReservedShares(this.#recent, this.#margins);
+    this.#reserved = new reserved.ReservedShares(this.#recentConfigurations, this.#margins);
     this.#holder = new holders.GrantHolder(
       this.#margins,
       (tokens) => this.#metrics.expiredTokens.inc(tokens),
@@ -100,7 +103,7 @@
       membership: parts.membership,
       logger: parts.logger,
       coordinator: this.#coordinator,
-      recent: this.#recent,
+      recentConfigurations: this.#recentConfigurations,
       metrics: this.#metrics,
       margins: this.#margins,
       now: this.#now,
@@ -111,19 +114,19 @@
   start(): void {
     this.#paths.listen();
     this.#network.handle(messages.GRANT_CHANNEL, (message) => this.#answerGrant(message));
-    this.#network.handle(messages.RETURN_CHANNEL, (message) => this.#takeReturns(message));
+    this.#network.handle(messages.RETURN_CHANNEL, (message) => this.#receiveReturns(message));
     this.#exchange.start();
     void this.#runSweeps();
   }
 
-  /** Hands all shards over to other VMs, which takes one grant lifetime and a little more. */
+  /** Hands all shards over to other VMs, which takes slightly longer than one grant lifetime. */
   async drain(): Promise<void> {
-    if (!this.#exchange.close()) {
+    if (!this.#exchange.startDrain()) {
       return;
     }
     this.#returnTokens(true);
-    // The successor asks for its votes and gets the levels with this VM's.
-    const handover = safety.GRANT_LIFETIME_MILLISECONDS + safety.HANDOVER_MILLISECONDS;
+    // The successor requests votes and receives the levels with this VM's vote.
+    const handover = safety.GRANT_LIFETIME_MILLISECONDS + safety.HANDOVER_VALIDITY_MILLISECONDS;
     await kernel.sleep(handover + 2 * SWEEP_MILLISECONDS, this.#stopping.signal);
     this.#returnTokens(true);
   }
@@ -141,61 +144,61 @@
     const holding = this.#holder.get(workspace.id);
     holding.addArrival(now);
     if (this.#holder.tryTake(workspace.id, holding, now)) {
-      this.#client.refill(workspace.id, holding);
-      return this.#count("grant", neverthrow.ok());
+      this.#client.prefetch(workspace.id, holding);
+      return this.#recordDecision("grant", neverthrow.ok());
     }
-    const own = this.#coordinator.tryTake(workspace, now);
-    if (own === true) {
-      return this.#count("coordinator", neverthrow.ok());
+    const taken = this.#coordinator.tryTake(workspace, now);
+    if (taken === true) {
+      return this.#recordDecision("coordinator", neverthrow.ok());
     }
-    if (this.#tryReserved(workspace, now)) {
-      return this.#count("own_share", neverthrow.ok());
+    if (this.#tryTakeOwnShare(workspace, now)) {
+      return this.#recordDecision("own_share", neverthrow.ok());
     }
-    if (own === false) {
+    if (taken === false) {
       const wait = this.#coordinator.getWaitMilliseconds(workspace, now);
-      return this.#count("over_rate", clients.refuse("over_rate", wait));
+      return this.#recordDecision("over_rate", clients.createRefusal("over_rate", wait));
     }
-    return this.#askCoordinator(workspace, holding, deadlineMilliseconds, now);
+    return this.#requestFromCoordinator(workspace, holding, deadlineMilliseconds, now);
   }
 
-  #askCoordinator(
+  #requestFromCoordinator(
     workspace: model.Workspace,
     holding: holders.WorkspaceHolding,
     deadlineMilliseconds: number,
     now: number,
   ): types.RateDecision | Promise<types.RateDecision> {
-    if (holding.dryUntilMilliseconds > now) {
-      const wait = holding.dryUntilMilliseconds - now;
-      return this.#count("over_rate", clients.refuse("over_rate", wait));
+    if (holding.refusedUntilMilliseconds > now) {
+      const wait = holding.refusedUntilMilliseconds - now;
+      return this.#recordDecision("over_rate", clients.createRefusal("over_rate", wait));
     }
     const coordinator = this.#exchange.findCoordinator(workspace.id);
-    const silence = this.#client.getSilenceMilliseconds(coordinator);
+    const backoff = this.#client.getBackoffMilliseconds(coordinator);
     const self = this.#network.self.vm;
-    const isTooLate = deadlineMilliseconds - now < paths.LONGEST_QUESTION_MILLISECONDS;
-    if (coordinator === self || silence > 0 || isTooLate) {
-      const wait = silence > 0 ? silence : NO_COORDINATOR_MILLISECONDS;
-      return this.#count("no_share", clients.refuse("no_share", wait));
+    const isTooLate = deadlineMilliseconds - now < paths.MAXIMUM_REQUEST_MILLISECONDS;
+    if (coordinator === self || backoff > 0 || isTooLate) {
+      const wait = backoff > 0 ? backoff : NO_COORDINATOR_MILLISECONDS;
+      return this.#recordDecision("no_share", clients.createRefusal("no_share", wait));
     }
-    const decision = this.#client.wait(workspace.id, holding, deadlineMilliseconds);
+    const decision = this.#client.waitForToken(workspace.id, holding, deadlineMilliseconds);
     if (!(decision instanceof Promise)) {
-      return this.#count("no_share", decision);
+      return this.#recordDecision("no_share", decision);
     }
     return decision.then((settled) =>
-      this.#count(settled.isOk() ? "waited" : settled.error.kind, settled)
+      this.#recordDecision(settled.isOk() ? "waited" : settled.error.kind, settled)
     );
   }
 
-  #count(decision: string, result: types.RateDecision): types.RateDecision {
+  #recordDecision(decision: string, result: types.RateDecision): types.RateDecision {
     this.#metrics.decisions.inc({ decision });
     return result;
   }
 
-  #tryReserved(workspace: model.Workspace, now: number): boolean {
+  #tryTakeOwnShare(workspace: model.Workspace, now: number): boolean {
     const vmLimit = this.#configuration.getSnapshot()?.fleet.vmLimit;
     if (vmLimit === undefined) {
       return false;
     }
-    const since = this.#exchange.getOwnSinceMilliseconds(workspace.id);
+    const since = this.#exchange.getOwnShareSinceMilliseconds(workspace.id);
     return this.#reserved.tryTake(workspace, vmLimit, since, now);
   }
 
@@ -207,10 +210,12 @@
     }
     const now = this.#now();
     this.#endGrants(request.data.returns ?? [], now);
-    return { grants: request.data.asks.map((ask) => this.#coordinator.grant(ask, now)) };
+    return {
+      grants: request.data.asks.map((tokenRequest) => this.#coordinator.grant(tokenRequest, now)),
+    };
   }
 
-  #takeReturns(message: fleet.PeerMessage): void {
+  #receiveReturns(message: fleet.PeerMessage): void {
     const returned = messages.returnMessage.safeParse(message.payload);
     if (!returned.success) {
       this.#metrics.malformed.inc({ channel: messages.RETURN_CHANNEL });
@@ -219,9 +224,9 @@
     this.#endGrants(returned.data.returns, this.#now());
   }
 
-  #endGrants(ends: readonly messages.Returned[], now: number): void {
+  #endGrants(ends: readonly messages.GrantReturn[], now: number): void {
     for (const end of ends) {
-      this.#coordinator.takeBack(end, now);
+      this.#coordinator.endGrant(end, now);
     }
   }
 
@@ -233,7 +238,9 @@
     }
   }
 
-  /** Regular work: own votes, returns, closings, forgetting idle workspaces. */
+  /**
+   * Periodic work: votes, releases of shards, returns of unused tokens, and removal of idle state.
+   */
   async #runSweeps(): Promise<void> {
     while (!this.#stopping.signal.aborted) {
       this.#sweep();
@@ -247,24 +254,27 @@
     this.#coordinator.sweep(now);
     this.#returnTokens(false);
     this.#client.sweep();
-    this.#reserved.sweep(now, (workspace) => this.#exchange.getOwnSinceMilliseconds(workspace));
+    this.#reserved.sweep(
+      now,
+      (workspace) => this.#exchange.getOwnShareSinceMilliseconds(workspace),
+    );
   }
 
   #createGauges(metrics: kernel.Metrics): void {
     metrics.createGauge(
       "hemlockwalk_limits_shards",
       "Shards whose pooled part this VM grants.",
-      () => this.#coordinator.countAuthorities(this.#now()),
+      () => this.#coordinator.countMajorities(this.#now()),
     );
     metrics.createGauge(
       "hemlockwalk_limits_claimed_shards",
-      "Shards for which this VM asks for votes.",
+      "Shards for which this VM requests votes.",
       () => this.#coordinator.listClaims().length,
     );
     metrics.createGauge(
       "hemlockwalk_limits_active_workspaces",
       "Workspaces for which this VM keeps state.",
-      () => this.#coordinator.activeWorkspaces + this.#holder.size + this.#reserved.size,
+      () => this.#coordinator.activeWorkspaceCount + this.#holder.size + this.#reserved.size,
     );
   }
 }
--- a/packages/limits/src/grant_client.ts
+++ b/packages/limits/src/grant_client.ts
@@ -1,8 +1,8 @@
 /**
- * Asks coordinators for tokens on behalf of this VM's requests.
+ * Requests tokens from coordinators on behalf of the requests that this VM handles.
  *
- * At most one question per workspace is under way; requests that come meanwhile wait for the next.
- * Questions to one coordinator that arise together travel in one message.
+ * At most one token request per workspace is in flight; requests that arrive meanwhile wait for the
+ * next one. Token requests to one coordinator that arise at the same time are sent in one message.
  */
 
 import type * as fleet from "@hemlockwalk/fleet";
@@ -17,22 +17,22 @@
 import * as safety from "./safety_margins.ts";
 import type * as types from "./types.ts";
 
-/** For how long a coordinator that did not answer is not asked again. */
-const SILENCE_MILLISECONDS = 300;
+/** How long a coordinator that did not reply is not contacted again. */
+const NO_REPLY_BACKOFF_MILLISECONDS = 300;
 
 const MAXIMUM_WAITING_PER_WORKSPACE = 2_000;
 
-/** Time for which a busy VM holds tokens ahead of need. */
-const AHEAD_MILLISECONDS = 200;
+/** A busy VM prefetches tokens for the requests that it expects in this time. */
+const PREFETCH_MILLISECONDS = 200;
 
-/** How long the ends of grants wait for a question to travel with. */
+/** How long the ends of grants wait to be sent with a token request. */
 const RETURN_DELAY_MILLISECONDS = 15;
 
-/** From this many expected requests on, one token is worth holding. */
-const LEAST_EXPECTED_ARRIVALS = 0.25;
+/** Least number of expected requests for which one token is prefetched. */
+const MINIMUM_EXPECTED_ARRIVALS = 0.25;
 
-/** A refused workspace is asked for again no later than this. */
-const LONGEST_DRY_MILLISECONDS = 1_000;
+/** Longest time for which a workspace is refused without a further request to its coordinator. */
+const MAXIMUM_REFUSAL_MILLISECONDS = 1_000;
 
 interface Waiter {
   readonly sinceMilliseconds: number;
@@ -40,13 +40,13 @@
   readonly settle: (decision: types.RateDecision) => void;
 }
 
-interface Question {
+interface PendingTokenRequest {
   readonly workspace: model.WorkspaceId;
   readonly holding: holders.WorkspaceHolding;
-  readonly ask: messages.Ask;
+  readonly tokenRequest: messages.TokenRequest;
 }
 
-/** The requests of this VM that wait for tokens, and the questions about them. */
+/** The requests of this VM that wait for tokens, and the token requests to coordinators. */
 export class GrantClient {
   readonly #network: fleet.PeerNetwork;
   readonly #paths: paths.GrantPaths;
@@ -56,9 +56,9 @@
   readonly #now: () => number;
   readonly #findCoordinator: (workspace: model.WorkspaceId) => model.VmId;
   readonly #waiters = new Map<model.WorkspaceId, Waiter[]>();
-  readonly #batches = new Map<model.VmId, Question[]>();
-  readonly #returns = new Map<model.VmId, messages.Returned[]>();
-  readonly #silentUntil = new Map<model.VmId, number>();
+  readonly #batches = new Map<model.VmId, PendingTokenRequest[]>();
+  readonly #returns = new Map<model.VmId, messages.GrantReturn[]>();
+  readonly #backoffUntil = new Map<model.VmId, number>();
 
   constructor(
     network: fleet.PeerNetwork,
@@ -78,42 +78,47 @@
     this.#findCoordinator = findCoordinator;
   }
 
-  /** Whether a coordinator has not answered lately, and how long it is left alone. */
-  getSilenceMilliseconds(coordinator: model.VmId): number {
-    return Math.max(0, (this.#silentUntil.get(coordinator) ?? 0) - this.#now());
+  /**
+   * Remaining time for which a coordinator that did not reply is not contacted; 0 if there is none.
+   */
+  getBackoffMilliseconds(coordinator: model.VmId): number {
+    return Math.max(0, (this.#backoffUntil.get(coordinator) ?? 0) - this.#now());
   }
 
-  /** Waits for a token. Settles before the deadline and after one question at the most. */
-  wait(
+  /** Waits for a token. Settles before the deadline, after at most one token request. */
+  waitForToken(
     workspace: model.WorkspaceId,
     holding: holders.WorkspaceHolding,
     deadlineMilliseconds: number,
   ): Promise<types.RateDecision> | types.RateDecision {
     const waiters = this.#waiters.get(workspace) ?? [];
     if (waiters.length >= MAXIMUM_WAITING_PER_WORKSPACE) {
-      return refuse("no_share", paths.GRANT_TIMEOUT_MILLISECONDS);
+      return createRefusal("no_share", paths.GRANT_TIMEOUT_MILLISECONDS);
     }
     this.#waiters.set(workspace, waiters);
     return new Promise((resolve) => {
       waiters.push({ sinceMilliseconds: this.#now(), deadlineMilliseconds, settle: resolve });
-      this.#ask(workspace, holding);
+      this.#requestTokens(workspace, holding);
     });
   }
 
-  /** Asks for tokens ahead of need where the workspace is busy here. */
-  refill(workspace: model.WorkspaceId, holding: holders.WorkspaceHolding): void {
+  /** Prefetches tokens if the workspace is busy on this VM. */
+  prefetch(workspace: model.WorkspaceId, holding: holders.WorkspaceHolding): void {
     const now = this.#now();
-    if (holding.asking || holding.dryUntilMilliseconds > now) {
+    if (holding.isRequestPending || holding.refusedUntilMilliseconds > now) {
       return;
     }
-    const expected = holding.getExpectedArrivals(AHEAD_MILLISECONDS, now);
+    const expected = holding.getExpectedArrivals(PREFETCH_MILLISECONDS, now);
     if (expected >= 1 && holding.countTokens() < expected / 2) {
-      this.#ask(workspace, holding);
+      this.#requestTokens(workspace, holding);
     }
   }
 
-  /** Tells a coordinator soon that a grant has ended, so that it no longer counts there. */
-  addReturn(coordinator: model.VmId, end: messages.Returned): void {
+  /**
+   * Reports the end of a grant to its coordinator after a short delay, so that the coordinator no
+   * longer counts the grant as outstanding.
+   */
+  addReturn(coordinator: model.VmId, end: messages.GrantReturn): void {
     const returns = this.#returns.get(coordinator);
     if (returns !== undefined) {
       returns.push(end);
@@ -123,102 +128,110 @@
     void this.#sendReturns(coordinator);
   }
 
-  /** Forgets coordinators that were silent long ago. */
+  /** Removes coordinators that may be contacted again. */
   sweep(): void {
     this.#paths.sweep();
     const now = this.#now();
-    for (const [coordinator, until] of this.#silentUntil) {
+    for (const [coordinator, until] of this.#backoffUntil) {
       if (until <= now) {
-        this.#silentUntil.delete(coordinator);
+        this.#backoffUntil.delete(coordinator);
       }
     }
   }
 
-  #ask(workspace: model.WorkspaceId, holding: holders.WorkspaceHolding): void {
-    if (holding.asking) {
+  #requestTokens(workspace: model.WorkspaceId, holding: holders.WorkspaceHolding): void {
+    if (holding.isRequestPending) {
       return;
     }
-    holding.asking = true;
+    holding.isRequestPending = true;
     const now = this.#now();
     const coordinator = this.#findCoordinator(workspace);
-    const expected = holding.getExpectedArrivals(AHEAD_MILLISECONDS, now);
-    const ask: messages.Ask = {
+    const expected = holding.getExpectedArrivals(PREFETCH_MILLISECONDS, now);
+    const tokenRequest: messages.TokenRequest = {
       workspace,
       waiting: this.#waiters.get(workspace)?.length ?? 0,
-      ...chooseAhead(expected, holding.countTokens()),
+      ...choosePrefetch(expected, holding.countTokens()),
     };
     const batch = this.#batches.get(coordinator);
-    const question = { workspace, holding, ask };
+    const pending = { workspace, holding, tokenRequest };
     if (batch !== undefined) {
-      batch.push(question);
+      batch.push(pending);
       return;
     }
-    this.#batches.set(coordinator, [question]);
-    queueMicrotask(() => void this.#send(coordinator));
+    this.#batches.set(coordinator, [pending]);
+    queueMicrotask(() => void this.#sendBatch(coordinator));
   }
 
   async #sendReturns(coordinator: model.VmId): Promise<void> {
     await kernel.sleep(RETURN_DELAY_MILLISECONDS);
-    const returns = this.#takeReturns(coordinator);
+    const returns = this.#removeReturns(coordinator);
     if (returns !== undefined) {
       const sent = this.#network.send(coordinator, messages.RETURN_CHANNEL, { returns });
       this.#metrics.returns.inc({ result: sent.isOk() ? "sent" : sent.error.kind });
     }
   }
 
-  #takeReturns(coordinator: model.VmId): messages.Returned[] | undefined {
+  #removeReturns(coordinator: model.VmId): messages.GrantReturn[] | undefined {
     const returns = this.#returns.get(coordinator);
     this.#returns.delete(coordinator);
     return returns;
   }
 
-  async #send(coordinator: model.VmId): Promise<void> {
-    const questions = this.#batches.get(coordinator) ?? [];
+  async #sendBatch(coordinator: model.VmId): Promise<void> {
+    const batch = this.#batches.get(coordinator) ?? [];
     this.#batches.delete(coordinator);
-    const sent = this.#now();
-    const asks = questions.map((question) => question.ask);
-    const returns = this.#takeReturns(coordinator);
+    const sentMilliseconds = this.#now();
+    const asks = batch.map((pending) => pending.tokenRequest);
+    const returns = this.#removeReturns(coordinator);
     const request: messages.GrantRequest = returns === undefined ? { asks } : { asks, returns };
-    const answer = await this.#paths.ask(coordinator, request);
+    const answer = await this.#paths.send(coordinator, request);
     const grants = answer?.grants;
     if (grants === undefined) {
-      this.#silentUntil.set(coordinator, this.#now() + SILENCE_MILLISECONDS);
+      this.#backoffUntil.set(coordinator, this.#now() + NO_REPLY_BACKOFF_MILLISECONDS);
       this.#metrics.decisions.inc({ decision: "coordinator_silent" });
     }
     const byWorkspace = new Map(grants?.map((grant) => [grant.workspace, grant]));
-    for (const question of questions) {
-      this.#finish(question, coordinator, byWorkspace.get(question.workspace), sent);
+    for (const pending of batch) {
+      this.#completeRequest(
+        pending,
+        coordinator,
+        byWorkspace.get(pending.workspace),
+        sentMilliseconds,
+      );
     }
   }
 
-  #finish(
-    question: Question,
+  #completeRequest(
+    pending: PendingTokenRequest,
     coordinator: model.VmId,
     grant: messages.Grant | undefined,
     sentMilliseconds: number,
   ): void {
-    const { workspace, holding, ask } = question;
+    const { workspace, holding, tokenRequest } = pending;
     const now = this.#now();
-    holding.asking = false;
+    holding.isRequestPending = false;
     if (grant !== undefined) {
-      const lifetime = safety.getReceiverMilliseconds(grant.lifetimeMilliseconds, this.#margins);
+      const lifetime = safety.getReceiverLifetimeMilliseconds(
+        grant.lifetimeMilliseconds,
+        this.#margins,
+      );
       this.#holder.add(holding, coordinator, grant, sentMilliseconds + lifetime, now);
     }
-    this.#serve(workspace, holding, ask.waiting, grant);
+    this.#settleWaiters(workspace, holding, tokenRequest.waiting, grant);
     if (this.#waiters.has(workspace)) {
-      this.#ask(workspace, holding);
+      this.#requestTokens(workspace, holding);
     }
   }
 
-  #serve(
+  #settleWaiters(
     workspace: model.WorkspaceId,
     holding: holders.WorkspaceHolding,
-    asked: number,
+    requested: number,
     grant: messages.Grant | undefined,
   ): void {
     const now = this.#now();
     const waiters = this.#waiters.get(workspace) ?? [];
-    let left = asked;
+    let left = requested;
     while (waiters.length > 0) {
       const admitted = this.#holder.tryTake(workspace, holding, now);
       if (!admitted && left <= 0) {
@@ -227,42 +240,42 @@
       left--;
       const waiter = kernel.getDefined(waiters.shift(), "The list is not empty.");
       this.#metrics.waits.record(now - waiter.sinceMilliseconds);
-      waiter.settle(admitted ? neverthrow.ok() : this.#refuse(holding, grant, now));
+      waiter.settle(admitted ? neverthrow.ok() : this.#createRefusal(holding, grant, now));
     }
     if (waiters.length === 0) {
       this.#waiters.delete(workspace);
     }
   }
 
-  #refuse(
+  #createRefusal(
     holding: holders.WorkspaceHolding,
     grant: messages.Grant | undefined,
     nowMilliseconds: number,
   ): types.RateDecision {
     const retryAfter = grant?.retryAfterMilliseconds;
     if (retryAfter === undefined) {
-      return refuse("no_share", SILENCE_MILLISECONDS);
+      return createRefusal("no_share", NO_REPLY_BACKOFF_MILLISECONDS);
     }
-    const dry = Math.min(retryAfter, LONGEST_DRY_MILLISECONDS);
-    holding.dryUntilMilliseconds = nowMilliseconds + dry;
-    return refuse("over_rate", retryAfter);
+    const refusedMilliseconds = Math.min(retryAfter, MAXIMUM_REFUSAL_MILLISECONDS);
+    holding.refusedUntilMilliseconds = nowMilliseconds + refusedMilliseconds;
+    return createRefusal("over_rate", retryAfter);
   }
 }
 
-/** What is asked for ahead of need, by the arrivals that are expected and the tokens held. */
-function chooseAhead(
+/** Chooses the tokens to prefetch from the expected arrivals and the tokens held. */
+function choosePrefetch(
   expected: number,
   held: number,
-): Pick<messages.Ask, "ahead" | "onlyFromPlenty"> {
+): Pick<messages.TokenRequest, "ahead" | "onlyFromPlenty"> {
   if (expected >= 1) {
     return { ahead: Math.max(0, Math.floor(expected - held)) };
   }
-  const isLikely = expected >= LEAST_EXPECTED_ARRIVALS && held === 0;
+  const isLikely = expected >= MINIMUM_EXPECTED_ARRIVALS && held === 0;
   return isLikely ? { ahead: 1, onlyFromPlenty: true } : { ahead: 0 };
 }
 
 /** Creates a refusal. */
-export function refuse(
+export function createRefusal(
   kind: errors.RateRefusal["kind"],
   retryAfterMilliseconds: number,
 ): types.RateDecision {
--- a/packages/limits/src/grant_holder.ts
+++ b/packages/limits/src/grant_holder.ts
@@ -1,18 +1,18 @@
 /**
- * Tokens that this VM holds for its own requests, each with the moment at which it ends.
+ * Tokens granted to this VM for its own requests. Each grant has an expiry.
  */
 
 import type * as model from "@hemlockwalk/model";
 import type * as messages from "./messages.ts";
 import type * as safety from "./safety_margins.ts";
 
-/** Tokens that no request has used for this long go back. */
+/** Tokens that no request has used for this long are returned to the coordinator. */
 const RETURN_AFTER_MILLISECONDS = 600;
 
 /** Time constant of the demand estimate. */
-const DEMAND_MILLISECONDS = 1_000;
+const DEMAND_TIME_CONSTANT_MILLISECONDS = 1_000;
 
-const FORGET_MILLISECONDS = 5_000;
+const HOLDING_RETENTION_MILLISECONDS = 5_000;
 
 interface HeldGrant {
   readonly coordinator: model.VmId;
@@ -22,12 +22,12 @@
   readonly expiryMilliseconds: number;
 }
 
-/** What this VM holds and expects of one workspace. */
+/** The grants that this VM holds for one workspace, and its estimate of the demand. */
 export class WorkspaceHolding {
   readonly grants: HeldGrant[] = [];
-  /** Requests are refused at once until then, since the coordinator had no token. */
-  dryUntilMilliseconds = 0;
-  asking = false;
+  /** Until then, requests are refused without a request to the coordinator, which had no token. */
+  refusedUntilMilliseconds = 0;
+  isRequestPending = false;
   #demand = 0;
   #updatedMilliseconds = Number.NEGATIVE_INFINITY;
 
@@ -39,7 +39,7 @@
 
   /** Expected arrivals in the given time. */
   getExpectedArrivals(milliseconds: number, nowMilliseconds: number): number {
-    return this.#decay(nowMilliseconds) * milliseconds / DEMAND_MILLISECONDS;
+    return this.#decay(nowMilliseconds) * milliseconds / DEMAND_TIME_CONSTANT_MILLISECONDS;
   }
 
   /** Tokens that may be spent now. */
@@ -51,28 +51,28 @@
     return tokens;
   }
 
-  /** Whether nothing would be lost by forgetting the workspace. */
+  /** Whether the holding can be removed without loss. */
   isIdle(nowMilliseconds: number): boolean {
-    const quiet = nowMilliseconds - this.#updatedMilliseconds > FORGET_MILLISECONDS;
-    return quiet && this.grants.length === 0 && !this.asking;
+    const isUnused = nowMilliseconds - this.#updatedMilliseconds > HOLDING_RETENTION_MILLISECONDS;
+    return isUnused && this.grants.length === 0 && !this.isRequestPending;
   }
 
   #decay(nowMilliseconds: number): number {
     const elapsed = nowMilliseconds - this.#updatedMilliseconds;
-    return this.#demand * Math.exp(-elapsed / DEMAND_MILLISECONDS);
+    return this.#demand * Math.exp(-elapsed / DEMAND_TIME_CONSTANT_MILLISECONDS);
   }
 }
 
-/** Unused tokens for one coordinator. */
+/** Unused tokens to return to one coordinator. */
 export interface ReturnBatch {
   readonly coordinator: model.VmId;
-  readonly returns: messages.Returned[];
+  readonly returns: messages.GrantReturn[];
 }
 
-/** Called with the coordinator that gave a grant and the end of the grant. */
-export type SpentListener = (coordinator: model.VmId, end: messages.Returned) => void;
+/** Called with the coordinator that issued a grant and the end of the grant. */
+export type SpentListener = (coordinator: model.VmId, end: messages.GrantReturn) => void;
 
-/** The holdings of one VM, created when a workspace is active and forgotten when it is not. */
+/** The holdings of one VM: created when a workspace becomes active, removed when it is idle. */
 export class GrantHolder {
   readonly #margins: safety.SafetyMargins;
   readonly #holdings = new Map<model.WorkspaceId, WorkspaceHolding>();
@@ -80,7 +80,7 @@
   readonly #onSpent: SpentListener;
 
   /**
-   * @param onExpired Called with the number of tokens that ended unused.
+   * @param onExpired Called with the number of tokens that expired unused.
    * @param onSpent Called when the last token of a grant was spent.
    */
   constructor(
@@ -97,7 +97,7 @@
     return this.#holdings.size;
   }
 
-  /** The holding of a workspace, created if need be. */
+  /** The holding of a workspace, which is created if it does not exist. */
   get(workspace: model.WorkspaceId): WorkspaceHolding {
     let holding = this.#holdings.get(workspace);
     if (holding === undefined) {
@@ -107,7 +107,7 @@
     return holding;
   }
 
-  /** Spends a token if one is held whose time is not over at this very moment. */
+  /** Spends a token of a grant that has not expired. Returns false if there is none. */
   tryTake(
     workspace: model.WorkspaceId,
     holding: WorkspaceHolding,
@@ -126,7 +126,7 @@
     return true;
   }
 
-  /** Adds tokens that were asked for at the given time. */
+  /** Adds the tokens of a grant. */
   add(
     holding: WorkspaceHolding,
     coordinator: model.VmId,
@@ -145,7 +145,10 @@
     }
   }
 
-  /** Removes tokens that nobody needed and lists them by coordinator, and forgets idle holdings. */
+  /**
+   * Removes and returns the tokens that were not used in time, or all tokens, by coordinator. Also
+   * removes idle holdings.
+   */
   collectReturns(nowMilliseconds: number, all: boolean): ReturnBatch[] {
     const batches = new Map<model.VmId, ReturnBatch>();
     for (const [workspace, holding] of this.#holdings) {
--- a/packages/limits/src/grant_paths.ts
+++ b/packages/limits/src/grant_paths.ts
@@ -1,8 +1,10 @@
 /**
- * The way of a question to a coordinator: directly, or through a third VM while the direct way fails.
+ * Sends grant requests to coordinators: directly or, while the direct path fails, by a detour
+ * through an intermediary VM.
  *
- * A partition often parts two data centres only, and both still reach a third one. A grant is dated
- * from the sending of the question by the VM that asks, so the detour needs no other safety.
+ * A partition often separates only two data centres, and both still reach a third one. The lifetime
+ * of a grant is measured from when the requesting VM sent its request, so a detour needs no further
+ * safety rules.
  */
 
 import type * as fleet from "@hemlockwalk/fleet";
@@ -10,31 +12,31 @@
 import * as messages from "./messages.ts";
 import type * as limiterMetrics from "./metrics.ts";
 
-/** How long a question may take on the direct way. */
+/** Timeout of a request on the direct path. */
 export const GRANT_TIMEOUT_MILLISECONDS = 150;
 
-/** How long a question may take through a third VM, which waits for its own part of the way. */
+/** Timeout of a request through an intermediary VM, which waits for the coordinator's reply. */
 const DETOUR_TIMEOUT_MILLISECONDS = GRANT_TIMEOUT_MILLISECONDS + 100;
 
-/** The longest time from a question to its answer or the end of all ways. */
-export const LONGEST_QUESTION_MILLISECONDS = GRANT_TIMEOUT_MILLISECONDS +
+/** Longest time from a request until its reply or the failure of all paths. */
+export const MAXIMUM_REQUEST_MILLISECONDS = GRANT_TIMEOUT_MILLISECONDS +
   DETOUR_TIMEOUT_MILLISECONDS;
 
-/** How often a direct way that failed is tried again, with a question that nobody waits for. */
+/** Interval at which a failed direct path is retried, with a request for which no caller waits. */
 const DIRECT_RETRY_MILLISECONDS = 2_000;
 
-/** A way that failed is forgotten when nobody has asked for so long. */
-const FORGET_MILLISECONDS = 60_000;
+/** A failed path is removed when no request has needed it for this long. */
+const FAILED_PATH_RETENTION_MILLISECONDS = 60_000;
 
-/** Asks coordinators, and carries the questions of VMs that cannot reach theirs. */
+/** Sends requests to coordinators, and forwards requests of VMs that cannot reach a coordinator. */
 export class GrantPaths {
   readonly #network: fleet.PeerNetwork;
   readonly #membership: fleet.Membership;
   readonly #metrics: limiterMetrics.LimiterMetrics;
   readonly #now: () => number;
-  /** Coordinators whose direct way failed, with the time of its next trial. */
-  readonly #nextTrials = new Map<model.VmId, number>();
-  #detours = 0;
+  /** Coordinators whose direct path failed, with the time of the next retry. */
+  readonly #nextDirectRetries = new Map<model.VmId, number>();
+  #detourCount = 0;
 
   constructor(
     network: fleet.PeerNetwork,
@@ -48,54 +50,54 @@
     this.#now = now;
   }
 
-  /** Carries questions of other VMs from now on. */
+  /** Starts to forward requests of other VMs. */
   listen(): void {
-    this.#network.handle(messages.DETOUR_CHANNEL, (message) => this.#carry(message));
+    this.#network.handle(messages.DETOUR_CHANNEL, (message) => this.#forward(message));
   }
 
-  /** Asks a coordinator; undefined when no way led to an answer. */
-  async ask(
+  /** Sends a request to a coordinator. Resolves with undefined when no path led to a reply. */
+  async send(
     coordinator: model.VmId,
     request: messages.GrantRequest,
   ): Promise<messages.GrantAnswer | undefined> {
-    const nextTrial = this.#nextTrials.get(coordinator);
-    if (nextTrial === undefined) {
-      const answer = await this.#askDirectly(coordinator, request);
+    const nextRetry = this.#nextDirectRetries.get(coordinator);
+    if (nextRetry === undefined) {
+      const answer = await this.#sendDirectly(coordinator, request);
       if (answer !== undefined) {
         return answer;
       }
-      // One answer may be late by chance, so the way is tried again at once.
-      this.#startTrial(coordinator);
-    } else if (nextTrial <= this.#now()) {
-      this.#startTrial(coordinator);
+      // A single reply may be late by chance, so the direct path is retried at once.
+      this.#startDirectRetry(coordinator);
+    } else if (nextRetry <= this.#now()) {
+      this.#startDirectRetry(coordinator);
     }
-    return this.#askByDetour(coordinator, request);
+    return this.#sendByDetour(coordinator, request);
   }
 
-  /** Forgets ways that failed long ago. */
+  /** Removes paths that failed long ago. */
   sweep(): void {
     const now = this.#now();
-    for (const [coordinator, nextTrial] of this.#nextTrials) {
-      if (nextTrial + FORGET_MILLISECONDS <= now) {
-        this.#nextTrials.delete(coordinator);
+    for (const [coordinator, nextRetry] of this.#nextDirectRetries) {
+      if (nextRetry + FAILED_PATH_RETENTION_MILLISECONDS <= now) {
+        this.#nextDirectRetries.delete(coordinator);
       }
     }
   }
 
-  #startTrial(coordinator: model.VmId): void {
-    this.#nextTrials.set(coordinator, this.#now() + DIRECT_RETRY_MILLISECONDS);
-    void this.#tryDirectWay(coordinator);
+  #startDirectRetry(coordinator: model.VmId): void {
+    this.#nextDirectRetries.set(coordinator, this.#now() + DIRECT_RETRY_MILLISECONDS);
+    void this.#retryDirectPath(coordinator);
   }
 
-  /** Sends an empty question, so that no request waits for a way that may still be cut. */
-  async #tryDirectWay(coordinator: model.VmId): Promise<void> {
-    const answer = await this.#askDirectly(coordinator, { asks: [] });
+  /** Sends an empty request, so that no caller waits for a path that may still be cut. */
+  async #retryDirectPath(coordinator: model.VmId): Promise<void> {
+    const answer = await this.#sendDirectly(coordinator, { asks: [] });
     if (answer !== undefined) {
-      this.#nextTrials.delete(coordinator);
+      this.#nextDirectRetries.delete(coordinator);
     }
   }
 
-  async #askDirectly(
+  async #sendDirectly(
     coordinator: model.VmId,
     request: messages.GrantRequest,
   ): Promise<messages.GrantAnswer | undefined> {
@@ -108,17 +110,17 @@
     return result.isOk() ? parseAnswer(result.value) : undefined;
   }
 
-  async #askByDetour(
+  async #sendByDetour(
     coordinator: model.VmId,
     request: messages.GrantRequest,
   ): Promise<messages.GrantAnswer | undefined> {
-    const third = this.#chooseThird(coordinator);
-    if (third === undefined) {
+    const intermediary = this.#chooseIntermediary(coordinator);
+    if (intermediary === undefined) {
       return undefined;
     }
     const detour: messages.DetourRequest = { coordinator, request };
     const result = await this.#network.call(
-      third,
+      intermediary,
       messages.DETOUR_CHANNEL,
       detour,
       DETOUR_TIMEOUT_MILLISECONDS,
@@ -128,32 +130,38 @@
     return answer;
   }
 
-  /** Another live VM each time, outside both data centres where there is one. */
-  #chooseThird(coordinator: model.VmId): model.VmId | undefined {
+  /**
+   * Chooses a different live VM each time, if possible outside the data centres of this VM and the
+   * coordinator.
+   */
+  #chooseIntermediary(coordinator: model.VmId): model.VmId | undefined {
     const members = this.#membership.listMembers();
     const self = this.#network.self;
     const others = members.filter((member) =>
       member.state === "live" && member.vm !== self.vm && member.vm !== coordinator
     );
-    const far = members.find((member) => member.vm === coordinator)?.dataCentre;
+    const coordinatorDataCentre = members.find((member) => member.vm === coordinator)?.dataCentre;
     const outside = others.filter((member) =>
-      member.dataCentre !== self.dataCentre && member.dataCentre !== far
+      member.dataCentre !== self.dataCentre && member.dataCentre !== coordinatorDataCentre
     );
     const candidates = outside.length > 0 ? outside : others;
-    this.#detours++;
-    return candidates[this.#detours % candidates.length]?.vm;
+    this.#detourCount++;
+    return candidates[this.#detourCount % candidates.length]?.vm;
   }
 
-  /** Asks a coordinator for another VM. An empty answer says that there was none. */
-  #carry(message: fleet.PeerMessage): Promise<messages.GrantAnswer | undefined> {
+  /**
+   * Forwards another VM's request to a coordinator. An undefined reply means that the coordinator
+   * did not reply.
+   */
+  #forward(message: fleet.PeerMessage): Promise<messages.GrantAnswer | undefined> {
     const detour = messages.detourRequest.safeParse(message.payload);
     if (!detour.success) {
       this.#metrics.malformed.inc({ channel: messages.DETOUR_CHANNEL });
       return Promise.resolve(undefined);
     }
     const coordinator = detour.data.coordinator as model.VmId;
-    // Only the direct way: a question that goes in circles would multiply.
-    return this.#askDirectly(coordinator, detour.data.request);
+    // Only on the direct path: requests that are forwarded in circles would multiply.
+    return this.#sendDirectly(coordinator, detour.data.request);
   }
 }
 
--- a/packages/limits/src/lease_exchange.ts
+++ b/packages/limits/src/lease_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * The exchange of votes between this VM and all others: it asks for votes for the shards that it
- * claims, and gives its own votes to others.
+ * Exchanges votes between this VM and all others: it requests votes for the shards that this VM
+ * claims, and gives this VM's votes to others.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
@@ -15,45 +15,47 @@
 import * as shards from "./shards.ts";
 import * as voters from "./voter.ts";
 
-/** What the exchange works with. */
+/** Dependencies of a lease exchange. */
 export interface LeaseExchangeParts {
   readonly configuration: configuration.ConfigurationService;
   readonly network: fleet.PeerNetwork;
   readonly membership: fleet.Membership;
   readonly coordinator: coordinators.Coordinator;
-  readonly recent: policies.RecentConfigurations;
+  readonly recentConfigurations: policies.RecentConfigurations;
   readonly metrics: limiterMetrics.LimiterMetrics;
   readonly logger: kernel.PartLogger;
   readonly margins: safety.SafetyMargins;
   readonly now: () => number;
 }
 
-/** How often votes are asked for while a claimed shard has no majority. */
+/** Interval at which votes are requested while a claimed shard lacks a majority. */
 const URGENT_RENEWAL_MILLISECONDS = 200;
 
-/** For how many rounds after a change renewal is urgent. */
+/** Number of sweeps after a change for which renewal is urgent. */
 const URGENT_ROUNDS = 25;
 
 const RENEWALS_PER_LEASE = 2.5;
 
-/** Time in which a release reaches the other voters too. */
-const RELEASE_MILLISECONDS = 10;
+/** Time in which a coordinator's release of a shard reaches the other voters too. */
+const RELEASE_PROPAGATION_MILLISECONDS = 10;
 
-/** The task that asks one peer for votes. */
+/** The task that requests votes from one peer. */
 interface PeerTask {
   stopped: boolean;
-  /** Whether the task was woken while it waited for an answer. */
-  hurried: boolean;
+  /**
+   * Whether to renew again without delay, because the task was woken while it waited for a reply.
+   */
+  isRenewalDue: boolean;
   wait: AbortController;
 }
 
-/** Asks for votes and gives them. */
+/** Requests votes from other VMs and gives this VM's votes. */
 export class LeaseExchange {
   readonly #configuration: configuration.ConfigurationService;
   readonly #network: fleet.PeerNetwork;
   readonly #membership: fleet.Membership;
   readonly #coordinator: coordinators.Coordinator;
-  readonly #recent: policies.RecentConfigurations;
+  readonly #recentConfigurations: policies.RecentConfigurations;
   readonly #metrics: limiterMetrics.LimiterMetrics;
   readonly #logger: kernel.PartLogger;
   readonly #now: () => number;
@@ -70,7 +72,7 @@
     this.#network = parts.network;
     this.#membership = parts.membership;
     this.#coordinator = parts.coordinator;
-    this.#recent = parts.recent;
+    this.#recentConfigurations = parts.recentConfigurations;
     this.#metrics = parts.metrics;
     this.#logger = parts.logger;
     this.#now = parts.now;
@@ -78,28 +80,31 @@
     this.#voter = new voters.Voter(
       parts.margins,
       this.#now(),
-      (shard) => void this.#followRelease(shard),
+      (shard) => void this.#claimReleasedShard(shard),
     );
   }
 
   start(): void {
     this.#network.handle(messages.LEASE_CHANNEL, (message) => this.#answerLease(message));
-    this.#membership.onChange(() => this.#followMembership());
+    this.#membership.onChange(() => this.#applyMembership());
     this.#configuration.onChange((change) => {
-      this.#noteSnapshot(change.current);
-      this.#hurry();
+      this.#recordSnapshot(change.current);
+      this.#renewWithoutDelay();
     });
-    this.#followMembership();
+    this.#applyMembership();
   }
 
-  /** Starts to give all shards up, and tells the others; false when there are no others. */
-  close(): boolean {
+  /**
+   * Starts to release all shards and announces it to the other VMs. Returns false if there are
+   * none.
+   */
+  startDrain(): boolean {
     this.#draining = true;
     const now = this.#now();
     for (const shard of this.#coordinator.listClaims()) {
-      this.#coordinator.close(shard, now);
+      this.#coordinator.startRelease(shard, now);
     }
-    this.#hurry();
+    this.#renewWithoutDelay();
     return this.#peers.size > 0;
   }
 
@@ -110,32 +115,40 @@
     }
   }
 
-  /** The VM that this VM is bound to knows best; without one, the view of the fleet decides. */
+  /**
+   * The coordinator of a workspace: the VM that holds this VM's vote or, if there is none, the
+   * owner of the shard in this VM's view of the fleet.
+   */
   findCoordinator(workspace: model.WorkspaceId): model.VmId {
     const shard = shards.getShard(workspace);
-    return this.#voter.getHolder(shard, this.#now()) ?? this.#owners.getOwner(shard);
+    return this.#voter.getCoordinator(shard, this.#now()) ?? this.#owners.getOwner(shard);
   }
 
-  /** Since when this VM's own share of a workspace is its own; a time to come while it is lent. */
-  getOwnSinceMilliseconds(workspace: model.WorkspaceId): number {
+  /**
+   * Time from which this VM may spend its own share of a workspace; in the future while it is
+   * leased.
+   */
+  getOwnShareSinceMilliseconds(workspace: model.WorkspaceId): number {
     const vmLimit = this.#configuration.getSnapshot()?.fleet.vmLimit ?? 1;
-    return this.#voter.getOwnSinceMilliseconds(shards.getShard(workspace), vmLimit);
+    return this.#voter.getOwnShareSinceMilliseconds(shards.getShard(workspace), vmLimit);
   }
 
-  /** Regular work: own votes, closings, and forgetting what has expired. */
+  /**
+   * Periodic work: renews this VM's votes for itself, finishes releases and removes expired votes.
+   */
   sweep(now: number): void {
     this.#voteForSelf();
     this.#urgentRounds = Math.max(0, this.#urgentRounds - 1);
-    this.#closeLostClaims(now);
-    if (this.#coordinator.finishClosing(now)) {
+    this.#releaseLostClaims(now);
+    if (this.#coordinator.finishReleases(now)) {
       this.#logger.info("Shards were released.", { left: this.#coordinator.listClaims().length });
       this.#voteForSelf();
-      this.#hurry();
+      this.#renewWithoutDelay();
     }
     this.#voter.sweep(now);
   }
 
-  #followMembership(): void {
+  #applyMembership(): void {
     this.#owners.refresh();
     const now = this.#now();
     const self = this.#network.self.vm;
@@ -148,9 +161,9 @@
     const listed = new Set(members.map((member) => member.vm));
     for (const vm of listed) {
       if (vm !== self && !this.#peers.has(vm)) {
-        const peer = { stopped: false, hurried: false, wait: new AbortController() };
+        const peer = { stopped: false, isRenewalDue: false, wait: new AbortController() };
         this.#peers.set(vm, peer);
-        void this.#runPeer(vm, peer);
+        void this.#runPeerTask(vm, peer);
       }
     }
     for (const [vm, peer] of this.#peers) {
@@ -159,54 +172,54 @@
         this.#peers.delete(vm);
       }
     }
-    this.#voter.forgetCoordinators(new Set(members.map((member) => member.incarnation)));
-    this.#hurry();
+    this.#voter.removeCoordinators(new Set(members.map((member) => member.incarnation)));
+    this.#renewWithoutDelay();
   }
 
-  /** Asks all peers for votes at once, and often until there is a majority. */
-  #hurry(): void {
+  /** Requests votes from all peers without delay, and then frequently until there is a majority. */
+  #renewWithoutDelay(): void {
     this.#urgentRounds = URGENT_ROUNDS;
     for (const peer of this.#peers.values()) {
-      peer.hurried = true;
+      peer.isRenewalDue = true;
       peer.wait.abort();
     }
   }
 
-  /** One task per peer: asks it for its votes again and again. */
-  async #runPeer(vm: model.VmId, peer: PeerTask): Promise<void> {
+  /** Requests the votes of one peer periodically until the peer is removed. */
+  async #runPeerTask(vm: model.VmId, peer: PeerTask): Promise<void> {
     let claimed = false;
     while (!peer.stopped) {
       const claims = this.#coordinator.listClaims();
-      // An empty claim is sent once, since it releases what was claimed before.
+      // An empty claim is sent once, to release the shards claimed before.
       if (claims.length > 0 || claimed) {
-        await this.#renew(vm, claims);
+        await this.#requestVotes(vm, claims);
       }
       claimed = claims.length > 0;
       if (peer.stopped) {
         return;
       }
-      if (peer.hurried) {
-        peer.hurried = false;
+      if (peer.isRenewalDue) {
+        peer.isRenewalDue = false;
         continue;
       }
-      // Whoever aborts the wait wakes the task.
+      // Aborting the wait wakes the task.
       peer.wait = new AbortController();
       await kernel.sleep(this.#getRenewalMilliseconds(), peer.wait.signal);
-      peer.hurried = false;
+      peer.isRenewalDue = false;
     }
   }
 
   #getRenewalMilliseconds(): number {
     const renewal = this.#getLeaseMilliseconds() / RENEWALS_PER_LEASE;
-    const urgent = this.#urgentRounds > 0 && this.#coordinator.isIncomplete(this.#now());
-    return urgent ? Math.min(URGENT_RENEWAL_MILLISECONDS, renewal) : renewal;
+    const isUrgent = this.#urgentRounds > 0 && this.#coordinator.lacksAnyMajority(this.#now());
+    return isUrgent ? Math.min(URGENT_RENEWAL_MILLISECONDS, renewal) : renewal;
   }
 
   #getLeaseMilliseconds(): number {
     return safety.getLeaseMilliseconds(this.#configuration.getSnapshot()?.fleet.vmLimit ?? 1);
   }
 
-  async #renew(vm: model.VmId, claims: number[]): Promise<void> {
+  async #requestVotes(vm: model.VmId, claims: number[]): Promise<void> {
     const request = this.#createLeaseRequest(vm, claims);
     if (request === undefined) {
       return;
@@ -230,7 +243,7 @@
   }
 
   #createLeaseRequest(vm: model.VmId, claims: number[]): messages.LeaseRequest | undefined {
-    const snapshot = this.#noteSnapshot(this.#configuration.getSnapshot());
+    const snapshot = this.#recordSnapshot(this.#configuration.getSnapshot());
     if (snapshot === undefined) {
       return undefined;
     }
@@ -246,7 +259,7 @@
     };
   }
 
-  /** This VM votes for itself by the same rules as for any other. */
+  /** Votes for this VM itself by the same rules as for any other. */
   #voteForSelf(): void {
     const self = this.#network.self;
     const request = this.#createLeaseRequest(self.vm, this.#coordinator.listClaims());
@@ -265,7 +278,7 @@
       return { shards: [], vmLimit: 1 };
     }
     if (request.data.leaving === true && this.#owners.markLeaving(message.from.vm)) {
-      this.#followMembership();
+      this.#applyMembership();
     }
     return this.#vote(message.from, request.data, this.#now());
   }
@@ -275,75 +288,81 @@
     request: messages.LeaseRequest,
     now: number,
   ): messages.LeaseAnswer {
-    const snapshot = this.#noteSnapshot(this.#configuration.getSnapshot());
+    const snapshot = this.#recordSnapshot(this.#configuration.getSnapshot());
     if (snapshot === undefined) {
       this.#metrics.votes.inc({ result: "no_configuration" });
       return { shards: [], vmLimit: 1 };
     }
-    const own: voters.VoterConfiguration = {
+    const ownConfiguration: voters.VoterConfiguration = {
       number: snapshot.number,
       digest: fleet.hashText(snapshot.digest),
       vmLimit: snapshot.fleet.vmLimit,
-      sinceMilliseconds: this.#recent.sinceMilliseconds,
+      sinceMilliseconds: this.#recentConfigurations.sinceMilliseconds,
     };
-    const vmLimit = own.vmLimit;
-    const refusal = this.#voter.check(from, request, own, now);
-    const isBehind = refusal === "configuration" && request.number < own.number;
-    // Another VM takes the shards of one that does not follow.
+    const vmLimit = ownConfiguration.vmLimit;
+    const refusal = this.#voter.check(from, request, ownConfiguration, now);
+    const isBehind = refusal === "configuration" && request.number < ownConfiguration.number;
+    // The shards of a VM that does not keep up with the configuration get another owner.
     if (this.#owners.markBehind(from.vm, isBehind)) {
-      this.#followMembership();
+      this.#applyMembership();
     }
     if (refusal !== undefined) {
       this.#metrics.votes.inc({ result: refusal });
       return { shards: [], vmLimit };
     }
-    this.#yieldToOwner(from.vm, request.shards, now);
+    this.#releaseToOwner(from.vm, request.shards, now);
     const granted = this.#voter.vote(from, request, now);
     const isFull = granted.length === request.shards.length;
     this.#metrics.votes.inc({ result: isFull ? "full" : "partial" });
-    const handovers = granted.map((shard) => this.#coordinator.takeHandover(shard, now))
+    const handovers = granted.map((shard) => this.#coordinator.consumeHandover(shard, now))
       .filter((handover) => handover !== undefined);
     return handovers.length === 0
       ? { shards: granted, vmLimit }
       : { shards: granted, vmLimit, handovers };
   }
 
-  #noteSnapshot(snapshot: configuration.Snapshot | undefined): configuration.Snapshot | undefined {
-    this.#recent.note(snapshot, this.#now());
+  #recordSnapshot(
+    snapshot: configuration.Snapshot | undefined,
+  ): configuration.Snapshot | undefined {
+    this.#recentConfigurations.record(snapshot, this.#now());
     return snapshot;
   }
 
-  /** Shards are given up when their owner by this VM's own view asks for them. */
-  #yieldToOwner(from: model.VmId, claimed: readonly number[], now: number): void {
+  /** Releases shards when the VM that owns them in this VM's view claims them. */
+  #releaseToOwner(from: model.VmId, claimed: readonly number[], now: number): void {
     if (from === this.#network.self.vm) {
       return;
     }
     for (const shard of claimed) {
       if (this.#owners.getOwner(shard) === from) {
-        this.#coordinator.close(shard, now);
+        this.#coordinator.startRelease(shard, now);
       }
     }
   }
 
-  /** A shard that this VM claims has just become free here, and about now elsewhere. */
-  async #followRelease(shard: number): Promise<void> {
-    if (!this.#coordinator.isWaitingFor(shard, this.#now())) {
+  /**
+   * Requests votes without delay for a claimed shard that its earlier coordinator has just
+   * released.
+   */
+  async #claimReleasedShard(shard: number): Promise<void> {
+    if (!this.#coordinator.lacksMajority(shard, this.#now())) {
       return;
     }
-    await kernel.sleep(RELEASE_MILLISECONDS, this.#stopping.signal);
+    await kernel.sleep(RELEASE_PROPAGATION_MILLISECONDS, this.#stopping.signal);
     this.#voteForSelf();
-    this.#hurry();
+    this.#renewWithoutDelay();
   }
 
   /**
-   * Votes that were given while views differed may be split between claimants for ever, since each
-   * goes on renewing its own. One without a majority that is not the owner by its own view ends that.
+   * Releases claims without a majority to shards that this VM does not own in its view. Votes that
+   * were given while views differed could otherwise stay split between claimants forever, since
+   * each of them keeps renewing its own.
    */
-  #closeLostClaims(now: number): void {
+  #releaseLostClaims(now: number): void {
     for (const shard of this.#coordinator.listClaims()) {
       const isOwner = this.#owners.getOwner(shard) === this.#network.self.vm;
-      if (!isOwner && this.#coordinator.isWaitingFor(shard, now)) {
-        this.#coordinator.close(shard, now);
+      if (!isOwner && this.#coordinator.lacksMajority(shard, now)) {
+        this.#coordinator.startRelease(shard, now);
       }
     }
   }
--- a/packages/limits/src/messages.ts
+++ b/packages/limits/src/messages.ts
@@ -1,22 +1,24 @@
 /**
- * Messages between VMs about limits. The receiver checks each by its schema before use.
+ * Messages between the rate limiters of VMs. The receiver validates each against its schema.
  */
 
 import * as fleet from "@hemlockwalk/fleet";
 import * as zod from "zod";
 import * as shards from "./shards.ts";
 
-/** A coordinator asks a VM for its votes; answered by `leaseAnswer`. */
+/** A coordinator requests a VM's votes; the reply is a `leaseAnswer`. */
 export const LEASE_CHANNEL = fleet.createChannelName("limits.lease");
-/** A VM asks a coordinator for tokens; answered by `grantAnswer`. */
+/** A VM requests tokens from a coordinator; the reply is a `grantAnswer`. */
 export const GRANT_CHANNEL = fleet.createChannelName("limits.grant");
-/** A VM asks another to ask a coordinator for it; answered by `grantAnswer` or not at all. */
+/**
+ * A VM has another VM forward its request to a coordinator; the reply, if any, is a `grantAnswer`.
+ */
 export const DETOUR_CHANNEL = fleet.createChannelName("limits.detour");
-/** A VM gives tokens back. */
+/** A VM returns tokens to a coordinator; there is no reply. */
 export const RETURN_CHANNEL = fleet.createChannelName("limits.return");
 
-const MAXIMUM_ASKS = 10_000;
-/** A shard with more levels than this is taken over empty. */
+const MAXIMUM_BATCH_ENTRIES = 10_000;
+/** A shard with more levels than this is handed over without them, and its buckets start empty. */
 export const MAXIMUM_HANDOVER_LEVELS = 5_000;
 const MAXIMUM_CAPACITY_DROPS = 32;
 
@@ -27,79 +29,81 @@
 const workspace = zod.string().min(1).max(63);
 
 export const leaseRequest = zod.object({
-  /** Grows with each request of one coordinator, so that late ones are told apart. */
+  /** Increases with each request of a coordinator, so that the voter can reject late ones. */
   sequence: count,
-  /** All shards that the coordinator claims. Those it held and leaves out are released. */
+  /**
+   * All shards that the coordinator claims. Shards that it held and no longer lists are released.
+   */
   shards: shardList,
   leaseMilliseconds: zod.number().positive(),
   /** Number of the release note in force at the coordinator. */
   number: count,
   /** Hash of the digest of that note. */
   digest: count,
-  /** The coordinator is about to stop and gives all its shards up. */
+  /** The coordinator is about to stop and releases all its shards. */
   leaving: zod.boolean().optional(),
 });
 export type LeaseRequest = zod.infer<typeof leaseRequest>;
 
-/** A moment at which the spendable shares fell, by the shares summed up since. */
-const drop = zod.object({
+/** A decrease of the spendable shares: the shares after it, and the share-seconds accrued since. */
+const capacityDrop = zod.object({
   pooled: amount,
   lent: amount,
   pooledSeconds: amount,
   lentSeconds: amount,
 });
 
-/** Levels of one shard, from its earlier coordinator. The sender has deducted them. */
+/** Bucket levels of one shard from its earlier coordinator, which has deducted them. */
 export const handover = zod.object({
   shard,
   levels: zod.array(zod.object({ workspace, level: amount })).max(MAXIMUM_HANDOVER_LEVELS),
   /** Bounds on the levels of all workspaces that are not listed. */
-  drops: zod.array(drop).max(MAXIMUM_CAPACITY_DROPS),
+  drops: zod.array(capacityDrop).max(MAXIMUM_CAPACITY_DROPS),
 });
 export type Handover = zod.infer<typeof handover>;
 
 export const leaseAnswer = zod.object({
-  /** Shards for which the voter is bound to the coordinator. */
+  /** Shards for which the voter has voted for the coordinator. */
   shards: shardList,
   vmLimit: zod.int().positive(),
   handovers: zod.array(handover).max(shards.SHARD_COUNT).optional(),
 });
 export type LeaseAnswer = zod.infer<typeof leaseAnswer>;
 
-const ask = zod.object({
+const tokenRequest = zod.object({
   workspace,
   /** Requests that wait for a token now. */
   waiting: count,
-  /** Tokens for requests that are expected soon. */
+  /** Tokens to prefetch for requests that are expected soon. */
   ahead: count,
-  /** The tokens ahead are wanted only where many are left. */
+  /** The prefetched tokens are wanted only if the coordinator has many tokens left. */
   onlyFromPlenty: zod.boolean().optional(),
 });
-export type Ask = zod.infer<typeof ask>;
+export type TokenRequest = zod.infer<typeof tokenRequest>;
 
 const grant = zod.object({
   workspace,
-  /** Names the grant at the coordinator that gave it. */
+  /** Identifies the grant at the coordinator that issued it. */
   grant: count,
   tokens: count,
-  /** Counts from the sending of the request. */
+  /** Measured from the sending of the request. */
   lifetimeMilliseconds: amount,
-  /** Time until the next token; absent when the coordinator has no authority. */
+  /** Time until the next token; absent unless the coordinator has a majority. */
   retryAfterMilliseconds: amount.optional(),
 });
 export type Grant = zod.infer<typeof grant>;
 
-export const grantAnswer = zod.object({ grants: zod.array(grant).max(MAXIMUM_ASKS) });
+export const grantAnswer = zod.object({ grants: zod.array(grant).max(MAXIMUM_BATCH_ENTRIES) });
 export type GrantAnswer = zod.infer<typeof grantAnswer>;
 
-/** The end of a grant, with what is left of it; 0 when it is spent. */
-const returned = zod.object({ workspace, grant: count, tokens: count });
-export type Returned = zod.infer<typeof returned>;
+/** The end of a grant with the number of unused tokens; 0 when all were spent. */
+const grantReturn = zod.object({ workspace, grant: count, tokens: count });
+export type GrantReturn = zod.infer<typeof grantReturn>;
 
 export const grantRequest = zod.object({
-  asks: zod.array(ask).max(MAXIMUM_ASKS),
+  asks: zod.array(tokenRequest).max(MAXIMUM_BATCH_ENTRIES),
   /** Grants that have ended since the last message. */
-  returns: zod.array(returned).max(MAXIMUM_ASKS).optional(),
+  returns: zod.array(grantReturn).max(MAXIMUM_BATCH_ENTRIES).optional(),
 });
 export type GrantRequest = zod.infer<typeof grantRequest>;
 
@@ -112,4 +116,6 @@
   readonly request: GrantRequest;
 }
 
-export const returnMessage = zod.object({ returns: zod.array(returned).max(MAXIMUM_ASKS) });
+export const returnMessage = zod.object({
+  returns: zod.array(grantReturn).max(MAXIMUM_BATCH_ENTRIES),
+});
--- a/packages/limits/src/metrics.ts
+++ b/packages/limits/src/metrics.ts
@@ -36,7 +36,7 @@
     );
     this.returnedTokens = metrics.createCounter(
       "hemlockwalk_limits_returned_tokens_total",
-      "Tokens that came back from other VMs, by result.",
+      "Tokens returned by other VMs, by result.",
       ["result"],
     );
     this.returns = metrics.createCounter(
@@ -65,12 +65,12 @@
     );
     this.detours = metrics.createCounter(
       "hemlockwalk_limits_detours_total",
-      "Questions to coordinators that went through a third VM, by result.",
+      "Requests to coordinators that were sent through an intermediary VM, by result.",
       ["result"],
     );
     this.malformed = metrics.createCounter(
       "hemlockwalk_limits_malformed_messages_total",
-      "Messages that were dropped because of their shape, by channel.",
+      "Messages that were dropped because they did not match their schema, by channel.",
       ["channel"],
     );
     this.waits = metrics.createLatency(
--- a/packages/limits/src/mod.ts
+++ b/packages/limits/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Limits: rates and bursts over the whole fleet, and fair shares of full services.
+ * Rate limits that hold for the whole fleet, and fair queueing for services at capacity.
  */
 
 export * from "./arrival_order_queue.ts";
--- a/packages/limits/src/pooled_bucket.ts
+++ b/packages/limits/src/pooled_bucket.ts
@@ -1,27 +1,30 @@
 /**
- * The tokens of one workspace at its coordinator.
+ * The token bucket of one workspace at its coordinator.
  */
 
 import type * as model from "@hemlockwalk/model";
 import type * as safety from "./safety_margins.ts";
 import type * as authorities from "./shard_authority.ts";
 
-interface Outstanding {
+interface OutstandingGrant {
   readonly tokens: number;
   readonly expiryMilliseconds: number;
 }
 
-/** Level and outstanding grants, which together never exceed the spendable share of the burst. */
+/**
+ * Tracks the level and the outstanding grants, which together never exceed the spendable share of
+ * the burst.
+ */
 export class PooledBucket {
   readonly #authority: authorities.ShardAuthority;
-  readonly #outstanding = new Map<number, Outstanding>();
+  readonly #outstanding = new Map<number, OutstandingGrant>();
   #outstandingTokens = 0;
   #workspace: model.Workspace;
   #reservedShare: number;
   #level = 0;
-  /** What the authority had summed up at the latest settlement; undefined before the first. */
-  #settled: authorities.SpendableShares | undefined;
-  touchedMilliseconds = 0;
+  /** The authority's shares at the latest update; undefined before the first. */
+  #lastShares: authorities.SpendableShares | undefined;
+  lastUsedMilliseconds = 0;
 
   constructor(
     workspace: model.Workspace,
@@ -34,13 +37,13 @@
     this.#authority = authority;
     if (!margins.emptyStart) {
       this.#level = workspace.burst;
-      this.#settled = authority.shares;
+      this.#lastShares = authority.shares;
     }
   }
 
   /** Tokens that may be granted or spent now. */
   getLevel(nowMilliseconds: number): number {
-    this.settle(nowMilliseconds);
+    this.advance(nowMilliseconds);
     return this.#level;
   }
 
@@ -48,18 +51,18 @@
     return this.#outstandingTokens;
   }
 
-  /** Whether forgetting the bucket loses nothing: one that is created later starts at this level. */
+  /** Whether the bucket can be removed without loss: one created later starts at the same level. */
   isIdle(nowMilliseconds: number): boolean {
-    this.settle(nowMilliseconds);
+    this.advance(nowMilliseconds);
     return this.#outstanding.size === 0 && this.#level >= this.#getCapacity() - 1e-9;
   }
 
-  /** Changes rate, burst and reserved share; what is above the new burst is lost. */
+  /** Changes rate, burst and reserved share. Tokens above the new burst are discarded. */
   configure(workspace: model.Workspace, reservedShare: number, nowMilliseconds: number): void {
     if (workspace === this.#workspace && reservedShare === this.#reservedShare) {
       return;
     }
-    this.settle(nowMilliseconds);
+    this.advance(nowMilliseconds);
     this.#workspace = workspace;
     this.#reservedShare = reservedShare;
     this.#clamp();
@@ -67,7 +70,7 @@
 
   /** Takes a token for a request of this VM. */
   tryTake(nowMilliseconds: number): boolean {
-    this.settle(nowMilliseconds);
+    this.advance(nowMilliseconds);
     if (this.#level < 1) {
       return false;
     }
@@ -75,8 +78,8 @@
     return true;
   }
 
-  /** Turns tokens into a grant. */
-  lend(
+  /** Deducts tokens and records them as an outstanding grant. */
+  addGrant(
     grant: number,
     tokens: number,
     expiryMilliseconds: number,
@@ -86,9 +89,12 @@
     this.#outstanding.set(grant, { tokens, expiryMilliseconds });
   }
 
-  /** Takes tokens of a grant back. A late or repeated message finds no grant. */
-  takeBack(grant: number, tokens: number, nowMilliseconds: number): boolean {
-    this.settle(nowMilliseconds);
+  /**
+   * Ends a grant and adds its unused tokens to the level. Returns false if the grant is not
+   * outstanding, because the message was late or repeated.
+   */
+  endGrant(grant: number, tokens: number, nowMilliseconds: number): boolean {
+    this.advance(nowMilliseconds);
     const outstanding = this.#outstanding.get(grant);
     if (outstanding === undefined) {
       return false;
@@ -99,38 +105,39 @@
     return true;
   }
 
-  /** Adds the level that an earlier coordinator left. */
+  /** Adds the level that an earlier coordinator handed over. */
   adopt(level: number, nowMilliseconds: number): void {
-    this.settle(nowMilliseconds);
-    const accrued = this.#getAccrued(this.#authority.gained, this.#authority.shares);
+    this.advance(nowMilliseconds);
+    const accrued = this.#getAccrued(this.#authority.sharesAtLastGain, this.#authority.shares);
     this.#level += Math.max(0, Math.min(level, this.#getCapacity() - accrued));
     this.#clamp();
   }
 
-  /** Milliseconds until a whole token will be there. */
+  /** Milliseconds until a whole token is available. */
   getWaitMilliseconds(nowMilliseconds: number): number {
     const missing = 1 - this.getLevel(nowMilliseconds);
-    const rate = this.#workspace.rate * this.#weighShare(this.#authority.shares);
+    const rate = this.#workspace.rate * this.#getShare(this.#authority.shares);
     return missing <= 0 ? 0 : missing * 1_000 / Math.max(rate, 1e-3);
   }
 
-  /** Brings the level up to the given time. */
-  settle(nowMilliseconds: number): void {
+  /** Updates the level to the given time. */
+  advance(nowMilliseconds: number): void {
     this.#authority.advance(nowMilliseconds);
     const shares = this.#authority.shares;
-    const settled = this.#settled;
-    let level = settled === undefined
+    const lastShares = this.#lastShares;
+    let level = lastShares === undefined
       ? Number.POSITIVE_INFINITY
-      : this.#level + this.#getAccrued(settled, shares);
+      : this.#level + this.#getAccrued(lastShares, shares);
     for (const drop of this.#authority.drops) {
-      if (settled === undefined || isSince(drop, settled)) {
-        const left = this.#weighShare(drop) * this.#workspace.burst - this.#outstandingTokens;
+      if (lastShares === undefined || isNotBefore(drop, lastShares)) {
+        const left = this.#getShare(drop) * this.#workspace.burst - this.#outstandingTokens;
         level = Math.min(level, left + this.#getAccrued(drop, shares));
       }
     }
     this.#level = level;
-    this.#settled = shares;
-    // Grants that ended meanwhile still bound the level until now: they may have been spent late.
+    this.#lastShares = shares;
+    // Grants that have expired since the last update still bound the level up to now: they may have
+    // been spent just before they expired.
     this.#clamp();
     this.#expire(nowMilliseconds);
   }
@@ -143,17 +150,17 @@
     }
   }
 
-  #removeOutstanding(grant: number, outstanding: Outstanding): void {
+  #removeOutstanding(grant: number, outstanding: OutstandingGrant): void {
     this.#outstanding.delete(grant);
     this.#outstandingTokens -= outstanding.tokens;
   }
 
   #getCapacity(): number {
-    return this.#weighShare(this.#authority.shares) * this.#workspace.burst;
+    return this.#getShare(this.#authority.shares) * this.#workspace.burst;
   }
 
-  /** Share (0 to 1) of this workspace's rate and burst. */
-  #weighShare(shares: authorities.SpendableShares): number {
+  /** Share (0 to 1) of this workspace's rate and burst that the given shares allow. */
+  #getShare(shares: authorities.SpendableShares): number {
     return (1 - this.#reservedShare) * shares.pooled + this.#reservedShare * shares.lent;
   }
 
@@ -173,9 +180,10 @@
   }
 }
 
-function isSince(
+function isNotBefore(
   drop: authorities.SpendableShares,
-  settled: authorities.SpendableShares,
+  lastShares: authorities.SpendableShares,
 ): boolean {
-  return drop.pooledSeconds >= settled.pooledSeconds && drop.lentSeconds >= settled.lentSeconds;
+  return drop.pooledSeconds >= lastShares.pooledSeconds &&
+    drop.lentSeconds >= lastShares.lentSeconds;
 }
--- a/packages/limits/src/reserved_policy.ts
+++ b/packages/limits/src/reserved_policy.ts
@@ -1,15 +1,15 @@
 /**
- * How much of a workspace's rate and burst is reserved, split over all VMs by right.
+ * How much of a workspace's rate and burst is reserved, divided equally between all VMs.
  *
- * Only a large burst leaves whole tokens to a part of the fleet that is cut off; for a small one the
- * reserved part would be lost in calm and of no use in a partition.
+ * Only with a large burst does a disconnected part of the fleet hold whole tokens. With a small
+ * one, the reserved part would be lost in normal operation and useless in a partition.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
 import type * as model from "@hemlockwalk/model";
 import * as safety from "./safety_margins.ts";
 
-/** Which part of which workspaces is reserved. */
+/** Which workspaces have a reserved part, and how large it is. */
 export interface ReservedPolicy {
   /** Share (0 to 1) of rate and burst. */
   readonly share: number;
@@ -20,18 +20,18 @@
 /** The policy in production. */
 export const RESERVED_POLICY: ReservedPolicy = { share: 0.2, minimumBurst: 200 };
 
-interface Retired {
+interface RetiredConfiguration {
   readonly snapshot: configuration.Snapshot;
   readonly sinceMilliseconds: number;
 }
 
-/** The configurations that some VM of the fleet may still act on. */
+/** The configurations on which some VM of the fleet may still act. */
 export class RecentConfigurations {
   readonly #policy: ReservedPolicy;
   #current: configuration.Snapshot | undefined;
   #sinceMilliseconds = Number.NEGATIVE_INFINITY;
-  #firstMilliseconds: number | undefined;
-  #retired: Retired[] = [];
+  #firstRecordedMilliseconds: number | undefined;
+  #retired: RetiredConfiguration[] = [];
 
   constructor(policy: ReservedPolicy) {
     this.#policy = policy;
@@ -41,22 +41,22 @@
     return this.#current;
   }
 
-  /** When the current configuration came into force here. */
+  /** When the current configuration came into force on this VM. */
   get sinceMilliseconds(): number {
     return this.#sinceMilliseconds;
   }
 
-  /** When all VMs that follow their configuration go by the current one. */
+  /** When all VMs that keep up with the configuration act on the current one. */
   get settledMilliseconds(): number {
     return this.#sinceMilliseconds + this.#getSettleMilliseconds();
   }
 
-  /** Takes note of the configuration in force. */
-  note(snapshot: configuration.Snapshot | undefined, nowMilliseconds: number): void {
+  /** Records the configuration in force. */
+  record(snapshot: configuration.Snapshot | undefined, nowMilliseconds: number): void {
     if (snapshot === this.#current) {
       return;
     }
-    this.#firstMilliseconds ??= nowMilliseconds;
+    this.#firstRecordedMilliseconds ??= nowMilliseconds;
     if (this.#current !== undefined) {
       this.#retired.push({ snapshot: this.#current, sinceMilliseconds: nowMilliseconds });
     }
@@ -64,7 +64,7 @@
     this.#sinceMilliseconds = nowMilliseconds;
   }
 
-  /** Reserved share of a workspace: the highest by which some VM may still go. */
+  /** Reserved share of a workspace: the highest on which some VM may still act. */
   getShare(workspace: model.Workspace, nowMilliseconds: number): number {
     let share = this.#getDeclaredShare(workspace);
     for (const { snapshot } of this.#listRetired(nowMilliseconds)) {
@@ -74,10 +74,10 @@
     return share;
   }
 
-  /** Whether no VM may still go by another declaration of the workspace or of the fleet. */
+  /** Whether no VM may still act on another declaration of the workspace or another `vmLimit`. */
   isSettled(workspace: model.Workspace, nowMilliseconds: number): boolean {
-    const first = this.#firstMilliseconds ?? nowMilliseconds;
-    // A VM that has just started does not know what was declared before.
+    const first = this.#firstRecordedMilliseconds ?? nowMilliseconds;
+    // A VM that has just started does not know the earlier declarations.
     if (nowMilliseconds - first < this.#getSettleMilliseconds()) {
       return false;
     }
@@ -95,7 +95,7 @@
     return safety.getSettleMilliseconds(this.#current?.fleet.vmLimit ?? 1);
   }
 
-  #listRetired(nowMilliseconds: number): readonly Retired[] {
+  #listRetired(nowMilliseconds: number): readonly RetiredConfiguration[] {
     if (this.#retired.length > 0) {
       const oldest = nowMilliseconds - this.#getSettleMilliseconds();
       this.#retired = this.#retired.filter((retired) => retired.sinceMilliseconds > oldest);
--- a/packages/limits/src/reserved_shares.ts
+++ b/packages/limits/src/reserved_shares.ts
@@ -1,27 +1,27 @@
 /**
- * The part of every rate and burst that this VM holds by right. It is spent here only while it is
- * not lent to a coordinator, which in calm it always is.
+ * This VM's own share of the reserved part of every rate and burst. The VM spends the share only
+ * while it is not leased to a coordinator by a vote; in normal operation it is always leased.
  */
 
 import type * as model from "@hemlockwalk/model";
 import type * as policies from "./reserved_policy.ts";
 import type * as safety from "./safety_margins.ts";
 
-interface Reserved {
+interface ReservedBucket {
   level: number;
   updatedMilliseconds: number;
 }
 
-const FORGET_MILLISECONDS = 60_000;
+const BUCKET_RETENTION_MILLISECONDS = 60_000;
 
-/** Buckets of this VM's own shares, created when they are first needed. */
+/** Buckets of this VM's own shares, created on first use. */
 export class ReservedShares {
   readonly #margins: safety.SafetyMargins;
-  readonly #recent: policies.RecentConfigurations;
-  readonly #buckets = new Map<model.WorkspaceId, Reserved>();
+  readonly #recentConfigurations: policies.RecentConfigurations;
+  readonly #buckets = new Map<model.WorkspaceId, ReservedBucket>();
 
-  constructor(recent: policies.RecentConfigurations, margins: safety.SafetyMargins) {
-    this.#recent = recent;
+  constructor(recentConfigurations: policies.RecentConfigurations, margins: safety.SafetyMargins) {
+    this.#recentConfigurations = recentConfigurations;
     this.#margins = margins;
   }
 
@@ -32,27 +32,28 @@
   /**
    * Takes a token of this VM's own share.
    *
-   * @param ownSinceMilliseconds Since when the share is not lent; it accrues from empty then.
+   * @param availableSinceMilliseconds Time since which the share is not leased; it accrues from
+   * empty from then on.
    */
   tryTake(
     workspace: model.Workspace,
     vmLimit: number,
-    ownSinceMilliseconds: number,
+    availableSinceMilliseconds: number,
     nowMilliseconds: number,
   ): boolean {
-    const reservedShare = this.#recent.getShare(workspace, nowMilliseconds);
+    const reservedShare = this.#recentConfigurations.getShare(workspace, nowMilliseconds);
     const capacity = workspace.burst * reservedShare / vmLimit;
-    if (nowMilliseconds < ownSinceMilliseconds || capacity < 1) {
+    if (nowMilliseconds < availableSinceMilliseconds || capacity < 1) {
       return false;
     }
-    // Others may still go by an earlier declaration, by which less was reserved.
-    if (!this.#recent.isSettled(workspace, nowMilliseconds)) {
+    // Other VMs may still act on an earlier declaration that reserved less.
+    if (!this.#recentConfigurations.isSettled(workspace, nowMilliseconds)) {
       this.#buckets.set(workspace.id, { level: 0, updatedMilliseconds: nowMilliseconds });
       return false;
     }
-    const bucket = this.#getBucket(workspace.id, ownSinceMilliseconds, nowMilliseconds);
-    const from = Math.max(bucket.updatedMilliseconds, ownSinceMilliseconds);
-    if (bucket.updatedMilliseconds < ownSinceMilliseconds) {
+    const bucket = this.#getBucket(workspace.id, availableSinceMilliseconds, nowMilliseconds);
+    const from = Math.max(bucket.updatedMilliseconds, availableSinceMilliseconds);
+    if (bucket.updatedMilliseconds < availableSinceMilliseconds) {
       bucket.level = 0;
     }
     const rate = workspace.rate * reservedShare / vmLimit;
@@ -66,11 +67,18 @@
     return true;
   }
 
-  /** Forgets buckets that were not used for so long that their share was lent again or is full. */
-  sweep(nowMilliseconds: number, ownSince: (workspace: model.WorkspaceId) => number): void {
+  /**
+   * Removes buckets that have not been used for a long time and whose share has been leased since.
+   */
+  sweep(
+    nowMilliseconds: number,
+    getAvailableSince: (workspace: model.WorkspaceId) => number,
+  ): void {
     for (const [workspace, bucket] of this.#buckets) {
-      const lentSince = ownSince(workspace) > bucket.updatedMilliseconds;
-      if (lentSince && nowMilliseconds - bucket.updatedMilliseconds > FORGET_MILLISECONDS) {
+      const wasLeased = getAvailableSince(workspace) > bucket.updatedMilliseconds;
+      if (
+        wasLeased && nowMilliseconds - bucket.updatedMilliseconds > BUCKET_RETENTION_MILLISECONDS
+      ) {
         this.#buckets.delete(workspace);
       }
     }
@@ -78,14 +86,14 @@
 
   #getBucket(
     workspace: model.WorkspaceId,
-    ownSinceMilliseconds: number,
+    availableSinceMilliseconds: number,
     nowMilliseconds: number,
-  ): Reserved {
+  ): ReservedBucket {
     let bucket = this.#buckets.get(workspace);
     if (bucket === undefined) {
-      // The latest note may have declared the workspace anew, so nothing earlier counts.
-      const declared = Math.min(this.#recent.settledMilliseconds, nowMilliseconds);
-      const updatedMilliseconds = Math.max(ownSinceMilliseconds, declared);
+      // The latest release note may have declared the workspace, so nothing before it counts.
+      const declared = Math.min(this.#recentConfigurations.settledMilliseconds, nowMilliseconds);
+      const updatedMilliseconds = Math.max(availableSinceMilliseconds, declared);
       bucket = { level: 0, updatedMilliseconds };
       this.#buckets.set(workspace, bucket);
     }
--- a/packages/limits/src/shard_authority.ts
+++ b/packages/limits/src/shard_authority.ts
@@ -1,23 +1,26 @@
 /**
- * What one coordinator may spend of one shard, worked out from the votes it holds.
+ * Computes what one coordinator may spend of one shard from the votes that it holds.
  *
- * A vote lends the voter's own share and, together with those of more than half of `vmLimit`, gives
- * the pooled part. The authority sums up share times elapsed time, exactly to each vote's expiry, so
- * that a bucket of any workspace can be brought up to date whenever it is touched next.
+ * A vote leases the voter's own share to the coordinator. The votes of more than half of `vmLimit`
+ * VMs also give it the pooled part. The authority integrates these shares over time, exactly up to
+ * each vote's expiry, so that the bucket of a workspace can be updated whenever it is next used.
  */
 
 import type * as model from "@hemlockwalk/model";
 import * as safety from "./safety_margins.ts";
 
-/** What the votes allow of the two parts, and for how long they have done so. */
+/**
+ * The shares of the pooled and the reserved part that the votes allow, and their integrals over
+ * time.
+ */
 export interface SpendableShares {
-  /** 1 with the votes of a majority, else 0: the part that is pooled. */
+  /** Share of the pooled part: 1 with the votes of a majority, otherwise 0. */
   readonly pooled: number;
-  /** Share (0 to 1) of the reserved part that is lent. */
+  /** Share (0 to 1) of the reserved part that the voters have leased to the coordinator. */
   readonly lent: number;
-  /** Seconds for which the pooled part was held. */
+  /** Seconds for which the coordinator held the pooled part. */
   readonly pooledSeconds: number;
-  /** Sum of the lent share times seconds. */
+  /** Integral of the leased share over time, in seconds. */
   readonly lentSeconds: number;
 }
 
@@ -28,9 +31,9 @@
 
 const MAXIMUM_DROPS = 16;
 
-const EMPTY: SpendableShares = { pooled: 0, lent: 0, pooledSeconds: 0, lentSeconds: 0 };
+const NO_SHARES: SpendableShares = { pooled: 0, lent: 0, pooledSeconds: 0, lentSeconds: 0 };
 
-/** The votes for one shard and what they allow. */
+/** The votes for one shard and the shares that they allow. */
 export class ShardAuthority {
   readonly #margins: safety.SafetyMargins;
   readonly #votes = new Map<model.VmId, Vote>();
@@ -41,10 +44,10 @@
   #lentSeconds = 0;
   #updatedMilliseconds: number;
   #nextExpiryMilliseconds = Number.POSITIVE_INFINITY;
-  #endMilliseconds = Number.NEGATIVE_INFINITY;
-  #gained: SpendableShares = EMPTY;
-  #gains = 0;
-  #drops: readonly SpendableShares[] = [EMPTY];
+  #majorityEndMilliseconds = Number.NEGATIVE_INFINITY;
+  #sharesAtLastGain: SpendableShares = NO_SHARES;
+  #gainCount = 0;
+  #drops: readonly SpendableShares[] = [NO_SHARES];
 
   constructor(
     vmLimit: number,
@@ -56,7 +59,7 @@
     this.#updatedMilliseconds = nowMilliseconds;
   }
 
-  /** What may be spent now. */
+  /** The shares that may be spent now. */
   get shares(): SpendableShares {
     return {
       pooled: this.#pooled,
@@ -72,26 +75,28 @@
   }
 
   /** The shares when the pooled part was last gained. */
-  get gained(): SpendableShares {
-    return this.#gained;
+  get sharesAtLastGain(): SpendableShares {
+    return this.#sharesAtLastGain;
   }
 
-  /** How often the pooled part was gained. */
-  get gains(): number {
-    return this.#gains;
+  /** Number of times that the pooled part was gained. */
+  get gainCount(): number {
+    return this.#gainCount;
   }
 
-  /** Moments at which a share fell, oldest first: levels above it were lost. Never empty. */
+  /**
+   * Decreases of a share, oldest first: levels above the lower share were discarded. Never empty.
+   */
   get drops(): readonly SpendableShares[] {
     return this.#drops;
   }
 
-  /** Whether the pooled part is included. */
+  /** Whether the votes form a majority, which gives the pooled part. */
   get hasMajority(): boolean {
     return this.#votes.size >= this.#getQuorum();
   }
 
-  /** Brings the sum up to the given time, through all expiries in their order. */
+  /** Updates the integrals to the given time, through all expiries in their order. */
   advance(nowMilliseconds: number): void {
     while (this.#nextExpiryMilliseconds <= nowMilliseconds) {
       const expiry = this.#nextExpiryMilliseconds;
@@ -126,7 +131,7 @@
     this.#refresh();
   }
 
-  /** Takes note of a changed `vmLimit`. */
+  /** Applies a changed `vmLimit`. */
   configure(vmLimit: number, nowMilliseconds: number): void {
     if (vmLimit === this.#vmLimit) {
       return;
@@ -136,29 +141,29 @@
     this.#refresh();
   }
 
-  /** Gives all votes up. */
+  /** Drops all votes. */
   release(nowMilliseconds: number): void {
     this.advance(nowMilliseconds);
     this.#votes.clear();
     this.#refresh();
   }
 
-  /** When the pooled part ends unless votes are renewed; the past when there is no majority. */
-  getEndMilliseconds(nowMilliseconds: number): number {
+  /** When the majority ends unless votes are renewed; minus infinity when there is none. */
+  getMajorityEndMilliseconds(nowMilliseconds: number): number {
     if (!this.hasMajority) {
       return Number.NEGATIVE_INFINITY;
     }
-    // Votes are only ever renewed to later times, so an earlier result that is far off still holds.
-    if (this.#endMilliseconds < nowMilliseconds + safety.GRANT_LIFETIME_MILLISECONDS) {
+    // Renewals only extend votes, so a cached result that is far enough ahead is still valid.
+    if (this.#majorityEndMilliseconds < nowMilliseconds + safety.GRANT_LIFETIME_MILLISECONDS) {
       const expiries = [...this.#votes.values()].map((vote) => vote.expiryMilliseconds);
       expiries.sort((left, right) => right - left);
-      this.#endMilliseconds = expiries[this.#getQuorum() - 1] ?? Number.NEGATIVE_INFINITY;
+      this.#majorityEndMilliseconds = expiries[this.#getQuorum() - 1] ?? Number.NEGATIVE_INFINITY;
     }
-    return this.#endMilliseconds;
+    return this.#majorityEndMilliseconds;
   }
 
-  /** The drops by how long ago they were, for the next coordinator. */
-  listDropsBefore(): SpendableShares[] {
+  /** The drops for the next coordinator, with the share-seconds that have accrued since each. */
+  listRelativeDrops(): SpendableShares[] {
     return this.#drops.map((drop) => ({
       ...drop,
       pooledSeconds: this.#pooledSeconds - drop.pooledSeconds,
@@ -166,13 +171,16 @@
     }));
   }
 
-  /** Takes over what an earlier coordinator knew of the workspaces that it did not list. */
-  adoptDrops(dropsBefore: readonly SpendableShares[]): void {
-    const gained = this.#gained;
+  /**
+   * Adopts the drops of an earlier coordinator, which bound the levels of the workspaces that it
+   * did not list.
+   */
+  adoptDrops(relativeDrops: readonly SpendableShares[]): void {
+    const gained = this.#sharesAtLastGain;
     const own = this.#drops.filter((drop) =>
       drop.pooledSeconds > gained.pooledSeconds || drop.lentSeconds > gained.lentSeconds
     );
-    const adopted = dropsBefore.map((drop) => ({
+    const adopted = relativeDrops.map((drop) => ({
       ...drop,
       pooledSeconds: gained.pooledSeconds - drop.pooledSeconds,
       lentSeconds: gained.lentSeconds - drop.lentSeconds,
@@ -196,7 +204,7 @@
     const earlier = this.shares;
     this.#lent = Math.min(1, this.#votes.size / this.#getVmLimit());
     this.#pooled = this.hasMajority ? 1 : 0;
-    this.#endMilliseconds = Number.NEGATIVE_INFINITY;
+    this.#majorityEndMilliseconds = Number.NEGATIVE_INFINITY;
     this.#nextExpiryMilliseconds = Number.POSITIVE_INFINITY;
     for (const vote of this.#votes.values()) {
       this.#nextExpiryMilliseconds = Math.min(
@@ -205,8 +213,8 @@
       );
     }
     if (this.#pooled > earlier.pooled) {
-      this.#gained = this.shares;
-      this.#gains++;
+      this.#sharesAtLastGain = this.shares;
+      this.#gainCount++;
     }
     if (this.#pooled < earlier.pooled || this.#lent < earlier.lent) {
       this.#addDrop();
@@ -220,7 +228,7 @@
       this.#drops = drops;
       return;
     }
-    // Two drops become one that is at least as strict as both.
+    // Merges the two oldest drops into one that is at least as strict as both.
     const merged = {
       ...second,
       pooled: Math.min(first.pooled, second.pooled),
@@ -234,7 +242,8 @@
   }
 
   #getVmLimit(): number {
-    // While a note changes the limit, VMs differ; the larger one counts.
+    // While VMs apply a release note that changes the limit, their limits differ; the largest one
+    // counts.
     let limit = this.#vmLimit;
     for (const vote of this.#votes.values()) {
       limit = Math.max(limit, vote.vmLimit);
--- a/packages/limits/src/shards.ts
+++ b/packages/limits/src/shards.ts
@@ -1,15 +1,15 @@
 /**
- * Workspaces are spread over a fixed number of shards, and each shard has one coordinator. Votes
- * are given for shards, so their cost does not grow with the number of workspaces.
+ * Assigns workspaces to a fixed number of shards, each with one coordinator. VMs vote per shard, so
+ * the cost of voting does not grow with the number of workspaces.
  */
 
 import * as fleet from "@hemlockwalk/fleet";
 import type * as model from "@hemlockwalk/model";
 
-/** Number of shards. All VMs use the same. */
+/** Number of shards. All VMs must use the same number. */
 export const SHARD_COUNT = 128;
 
-/** The most VMs that coordinate shards, so that the number of links per VM stays bounded. */
+/** Maximum number of VMs that coordinate shards; it bounds the number of links per VM. */
 export const MAXIMUM_COORDINATORS = 24;
 
 const COORDINATORS_KEY = "limits coordinators";
@@ -20,14 +20,15 @@
 }
 
 /**
- * Which VM should coordinate which shard, by this VM's view of the fleet. Views differ between
- * VMs; the votes decide, and this only says whom to vote for, claim for or ask.
+ * The VM that should coordinate each shard, according to this VM's view of the fleet. Views differ
+ * between VMs, and only votes give authority: the view determines which shards this VM claims or
+ * releases, and where it sends token requests.
  */
 export class ShardOwners {
   readonly #membership: fleet.Membership;
-  /** VMs that said themselves that they are about to stop. */
+  /** VMs that announced that they are about to stop. */
   readonly #leaving = new Set<model.VmId>();
-  /** VMs that stayed behind with their configuration, and so get no votes. */
+  /** VMs whose configuration is out of date, and which therefore get no votes. */
   readonly #behind = new Set<model.VmId>();
   #owners: readonly model.VmId[] = [];
 
@@ -36,7 +37,7 @@
     this.refresh();
   }
 
-  /** Leaves a VM out that said that it is about to stop; true when that is news. */
+  /** Excludes a VM that announced that it is about to stop. Returns whether this is a change. */
   markLeaving(vm: model.VmId): boolean {
     if (this.#leaving.has(vm)) {
       return false;
@@ -46,7 +47,7 @@
     return true;
   }
 
-  /** Leaves a VM out while its configuration is old; true when that is news. */
+  /** Excludes a VM while its configuration is out of date. Returns whether this is a change. */
   markBehind(vm: model.VmId, isBehind: boolean): boolean {
     if (this.#behind.has(vm) === isBehind) {
       return false;
@@ -60,10 +61,10 @@
     return true;
   }
 
-  /** Reads the view again. */
+  /** Recomputes the owners from the current members. */
   refresh(): void {
     const members = this.#membership.listMembers();
-    this.#forgetUnlisted(members);
+    this.#removeUnlisted(members);
     const candidates = members.filter((member) => member.state === "live")
       .map((member) => member.vm)
       .filter((vm) => !this.#leaving.has(vm) && !this.#behind.has(vm));
@@ -76,7 +77,7 @@
     this.#owners = owners;
   }
 
-  #forgetUnlisted(members: readonly fleet.Member[]): void {
+  #removeUnlisted(members: readonly fleet.Member[]): void {
     const listed = new Set(members.map((member) => member.vm));
     for (const vm of [...this.#leaving, ...this.#behind]) {
       if (!listed.has(vm)) {
--- a/packages/limits/src/static_share_limiter.ts
+++ b/packages/limits/src/static_share_limiter.ts
@@ -1,8 +1,10 @@
 /**
- * Rates and bursts by static shares: each VM has one part in `vmLimit` of both.
+ * A rate limiter with static shares: each VM may use 1/`vmLimit` of each workspace's rate and
+ * burst.
  *
- * Safe under any partition without a message between VMs, at the price of refusals whenever the
- * traffic is not spread evenly over `vmLimit` VMs. The baseline of the other limiters.
+ * It is safe under any partition without messages between VMs, but it refuses requests within the
+ * rate whenever traffic is not spread evenly over `vmLimit` VMs. It is the baseline for the other
+ * limiters.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -44,7 +46,7 @@
     const burst = workspace.burst / vmLimit;
     let share = this.#shares.get(workspace.id);
     if (share === undefined) {
-      // A predecessor under the same share may just have spent it, so a new VM starts empty.
+      // A predecessor that held the same share may just have spent it, so a new VM starts empty.
       const bucket = new buckets.TokenBucket(rate, burst, 0, this.#startedMilliseconds);
       share = { bucket, workspace, vmLimit };
       this.#shares.set(workspace.id, share);
@@ -58,5 +60,5 @@
   }
 }
 
-/** The name under which the rate limiter is found. */
+/** Service name of the rate limiter. */
 export const RATE_LIMITER = kernel.createServiceName<types.RateLimiter>("rate-limiter");
--- a/packages/limits/src/token_bucket.ts
+++ b/packages/limits/src/token_bucket.ts
@@ -2,7 +2,7 @@
  * A token bucket on the monotonic clock.
  */
 
-/** Tokens accrue at a rate up to a capacity and are taken one by one. */
+/** Tokens accrue at a rate up to a capacity. */
 export class TokenBucket {
   #level: number;
   #updatedMilliseconds: number;
@@ -11,7 +11,7 @@
 
   /**
    * @param ratePerSecond Tokens that accrue in a second.
-   * @param capacity The most tokens that the bucket holds.
+   * @param capacity Maximum number of tokens in the bucket.
    * @param level Tokens at the start.
    * @param nowMilliseconds Monotonic time of the start.
    */
@@ -28,7 +28,7 @@
     return this.#level;
   }
 
-  /** Takes tokens if all of them are there. */
+  /** Takes the given number of tokens if the bucket holds that many. */
   tryTake(count: number, nowMilliseconds: number): boolean {
     this.#accrue(nowMilliseconds);
     if (this.#level < count) {
@@ -38,13 +38,13 @@
     return true;
   }
 
-  /** Milliseconds until the given number of tokens will be there. */
+  /** Milliseconds until the bucket holds the given number of tokens. */
   getWaitMilliseconds(count: number, nowMilliseconds: number): number {
     const missing = count - this.getLevel(nowMilliseconds);
     return missing <= 0 ? 0 : missing * 1_000 / this.#ratePerSecond;
   }
 
-  /** Changes rate and capacity; what is above the new capacity is lost. */
+  /** Changes rate and capacity. Tokens above the new capacity are discarded. */
   configure(ratePerSecond: number, capacity: number, nowMilliseconds: number): void {
     this.#accrue(nowMilliseconds);
     this.#ratePerSecond = ratePerSecond;
--- a/packages/limits/src/types.ts
+++ b/packages/limits/src/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types through which the gateway asks whether a request may run now.
+ * Interfaces through which the gateway requests admission under rate limits and slots of services.
  */
 
 import type * as kernel from "@hemlockwalk/kernel";
@@ -10,13 +10,13 @@
 /** Whether a request is within its workspace's rate and burst. */
 export type RateDecision = neverthrow.Result<void, errors.RateRefusal>;
 
-/** Decides on rates and bursts over the whole fleet. */
+/** Enforces each workspace's rate and burst over the whole fleet. */
 export interface RateLimiter extends kernel.Service {
   /**
-   * Takes one token of the workspace. Decides at once on the common path; otherwise the promise
+   * Takes one token of the workspace. The common path decides synchronously; otherwise the promise
    * settles before the deadline.
    *
-   * @param deadlineMilliseconds On the monotonic clock.
+   * @param deadlineMilliseconds Deadline on the monotonic clock.
    */
   admit(
     workspace: model.Workspace,
@@ -34,16 +34,16 @@
   /** On the monotonic clock. */
   readonly deadlineMilliseconds: number;
   readonly signal: AbortSignal;
-  /** Takes a slot; undefined while none is free. */
+  /** Acquires a slot; returns undefined if none is free. */
   readonly tryAcquire: () => Lease | undefined;
 }
 
-/** Shares the slots of a full service between workspaces. */
+/** Divides the slots of a service at capacity between workspaces. */
 export interface FairQueue extends kernel.Service {
   /** Resolves with the lease of a slot, in fair order, or with a refusal. */
   enter<Lease>(
     request: QueueRequest<Lease>,
   ): Promise<neverthrow.Result<Lease, errors.QueueRefusal>>;
-  /** Tells that slots of a service may have become free. */
+  /** Must be called when slots of a service may have become free. */
   notifyCapacity(service: model.ServiceId): void;
 }
--- a/packages/limits/src/voter.ts
+++ b/packages/limits/src/voter.ts
@@ -1,8 +1,8 @@
 /**
- * One VM's votes: for each shard it is bound to at most one coordinator at a time.
+ * The votes of one VM: for each shard, it votes for at most one coordinator at a time.
  *
- * A vote lends this VM's own share of the shard's workspaces. The share is spent here again only
- * after the vote and every grant made on it have expired.
+ * A vote leases this VM's own share of the shard's workspaces to the coordinator. The VM spends the
+ * share itself again only after the vote and every grant that relies on it have expired.
  */
 
 import type * as fleet from "@hemlockwalk/fleet";
@@ -10,34 +10,34 @@
 import type * as messages from "./messages.ts";
 import * as safety from "./safety_margins.ts";
 
-interface Hold {
+interface Vote {
   readonly vm: model.VmId;
   readonly incarnation: model.Incarnation;
   readonly expiryMilliseconds: number;
 }
 
-/** What the voter knows of the configuration in force. */
+/** The configuration in force at the voter. */
 export interface VoterConfiguration {
   readonly number: number;
   readonly digest: number;
   readonly vmLimit: number;
-  /** Monotonic time at which it came into force here. */
+  /** Monotonic time at which it came into force on this VM. */
   readonly sinceMilliseconds: number;
 }
 
-/** Why a request for votes was turned down as a whole. */
+/** Why a request for votes was refused as a whole. */
 export type VoteRefusal = "starting" | "late" | "lease_too_long" | "configuration";
 
-/** Called when a coordinator gives a shard up. */
+/** Called when a coordinator releases a shard. */
 export type ReleaseListener = (shard: number) => void;
 
-/** Gives the votes of one VM. */
+/** Decides on requests for the votes of one VM. */
 export class Voter {
   readonly #margins: safety.SafetyMargins;
   readonly #startedMilliseconds: number;
-  readonly #holds = new Map<number, Hold>();
+  readonly #votes = new Map<number, Vote>();
   readonly #lastSequences = new Map<model.Incarnation, number>();
-  /** By shard: when the latest grant on this VM's own share can have ended. */
+  /** By shard: the time by which every grant that relies on this VM's vote has expired. */
   readonly #reclaimMilliseconds = new Map<number, number>();
   readonly #onRelease: ReleaseListener;
 
@@ -52,8 +52,8 @@
   }
 
   /**
-   * When a VM that started here may vote and spend its own share: a predecessor in its place may
-   * have voted just before it died, and grants may have been made on that vote.
+   * When this VM may vote and spend its own share. A predecessor that it replaces may have voted
+   * just before it died, and grants may rely on that vote.
    */
   getReadyMilliseconds(vmLimit: number): number {
     if (!this.#margins.votingWait) {
@@ -63,26 +63,28 @@
       safety.GRANT_LIFETIME_MILLISECONDS;
   }
 
-  /** Why no vote can be given now; undefined when the request is in order. */
+  /** Returns why no vote can be given now; undefined when the request is acceptable. */
   check(
     from: fleet.VmIdentity,
     request: messages.LeaseRequest,
-    own: VoterConfiguration,
+    ownConfiguration: VoterConfiguration,
     nowMilliseconds: number,
   ): VoteRefusal | undefined {
     if (request.sequence <= (this.#lastSequences.get(from.incarnation) ?? 0)) {
       return "late";
     }
-    if (nowMilliseconds < this.getReadyMilliseconds(own.vmLimit)) {
+    if (nowMilliseconds < this.getReadyMilliseconds(ownConfiguration.vmLimit)) {
       return "starting";
     }
-    if (request.leaseMilliseconds > safety.getLeaseMilliseconds(own.vmLimit)) {
+    if (request.leaseMilliseconds > safety.getLeaseMilliseconds(ownConfiguration.vmLimit)) {
       return "lease_too_long";
     }
-    return this.#agrees(request, own, nowMilliseconds) ? undefined : "configuration";
+    return this.#isConfigurationAccepted(request, ownConfiguration, nowMilliseconds)
+      ? undefined
+      : "configuration";
   }
 
-  /** Binds this VM to the coordinator for the claimed shards that are free, and lists them. */
+  /** Votes for the coordinator in the claimed shards that are free, and returns these shards. */
   vote(
     from: fleet.VmIdentity,
     request: messages.LeaseRequest,
@@ -92,85 +94,89 @@
     this.#release(from, request);
     const granted: number[] = [];
     for (const shard of request.shards) {
-      if (this.#bind(shard, from, request.leaseMilliseconds, nowMilliseconds)) {
+      if (this.#tryBind(shard, from, request.leaseMilliseconds, nowMilliseconds)) {
         granted.push(shard);
       }
     }
     return granted;
   }
 
-  /** The coordinator that this VM is bound to; undefined when it is free. */
-  getHolder(shard: number, nowMilliseconds: number): model.VmId | undefined {
-    const hold = this.#holds.get(shard);
-    return hold !== undefined && hold.expiryMilliseconds > nowMilliseconds ? hold.vm : undefined;
+  /** The coordinator that holds this VM's vote for a shard; undefined if there is none. */
+  getCoordinator(shard: number, nowMilliseconds: number): model.VmId | undefined {
+    const vote = this.#votes.get(shard);
+    return vote !== undefined && vote.expiryMilliseconds > nowMilliseconds ? vote.vm : undefined;
   }
 
-  /** Since when this VM's own share of a shard is its own; a time to come while it is lent. */
-  getOwnSinceMilliseconds(shard: number, vmLimit: number): number {
+  /**
+   * Time from which this VM may spend its own share of a shard; in the future while it is leased.
+   */
+  getOwnShareSinceMilliseconds(shard: number, vmLimit: number): number {
     const reclaim = this.#reclaimMilliseconds.get(shard) ?? Number.NEGATIVE_INFINITY;
     return Math.max(reclaim, this.getReadyMilliseconds(vmLimit));
   }
 
-  /** Forgets what has expired. */
+  /** Removes expired votes. */
   sweep(nowMilliseconds: number): void {
-    for (const [shard, hold] of this.#holds) {
-      if (hold.expiryMilliseconds <= nowMilliseconds) {
-        this.#holds.delete(shard);
+    for (const [shard, vote] of this.#votes) {
+      if (vote.expiryMilliseconds <= nowMilliseconds) {
+        this.#votes.delete(shard);
       }
     }
   }
 
-  /** Forgets coordinators that are no longer listed and hold nothing here. */
-  forgetCoordinators(listed: ReadonlySet<model.Incarnation | undefined>): void {
-    const holding = new Set([...this.#holds.values()].map((hold) => hold.incarnation));
+  /** Removes coordinators that are no longer listed and hold none of this VM's votes. */
+  removeCoordinators(listed: ReadonlySet<model.Incarnation | undefined>): void {
+    const voteHolders = new Set([...this.#votes.values()].map((vote) => vote.incarnation));
     for (const incarnation of this.#lastSequences.keys()) {
-      if (!listed.has(incarnation) && !holding.has(incarnation)) {
+      if (!listed.has(incarnation) && !voteHolders.has(incarnation)) {
         this.#lastSequences.delete(incarnation);
       }
     }
   }
 
-  #agrees(
+  #isConfigurationAccepted(
     request: messages.LeaseRequest,
-    own: VoterConfiguration,
+    ownConfiguration: VoterConfiguration,
     nowMilliseconds: number,
   ): boolean {
     if (!this.#margins.configurationAgreement) {
       return true;
     }
-    if (request.number === own.number) {
-      return request.digest === own.digest;
+    if (request.number === ownConfiguration.number) {
+      return request.digest === ownConfiguration.digest;
     }
-    const behind = request.number < own.number;
-    const age = nowMilliseconds - own.sinceMilliseconds;
-    return !behind || age < safety.CONFIGURATION_GRACE_MILLISECONDS;
+    const isBehind = request.number < ownConfiguration.number;
+    const age = nowMilliseconds - ownConfiguration.sinceMilliseconds;
+    return !isBehind || age < safety.CONFIGURATION_GRACE_MILLISECONDS;
   }
 
   #release(from: fleet.VmIdentity, request: messages.LeaseRequest): void {
     const claimed = new Set(request.shards);
-    for (const [shard, hold] of this.#holds) {
-      if (hold.incarnation === from.incarnation && !claimed.has(shard)) {
-        this.#holds.delete(shard);
+    for (const [shard, vote] of this.#votes) {
+      if (vote.incarnation === from.incarnation && !claimed.has(shard)) {
+        this.#votes.delete(shard);
         this.#onRelease(shard);
       }
     }
   }
 
-  #bind(
+  #tryBind(
     shard: number,
     from: fleet.VmIdentity,
     leaseMilliseconds: number,
     nowMilliseconds: number,
   ): boolean {
-    const hold = this.#holds.get(shard);
-    const free = hold === undefined || hold.expiryMilliseconds <= nowMilliseconds;
-    if (!free && hold.incarnation !== from.incarnation) {
+    const vote = this.#votes.get(shard);
+    const isFree = vote === undefined || vote.expiryMilliseconds <= nowMilliseconds;
+    if (!isFree && vote.incarnation !== from.incarnation) {
       return false;
     }
     const expiryMilliseconds = nowMilliseconds + leaseMilliseconds;
-    this.#holds.set(shard, { vm: from.vm, incarnation: from.incarnation, expiryMilliseconds });
-    const grants = this.#margins.accrualAfterExpiry ? safety.GRANT_LIFETIME_MILLISECONDS : 0;
-    this.#reclaimMilliseconds.set(shard, expiryMilliseconds + grants);
+    this.#votes.set(shard, { vm: from.vm, incarnation: from.incarnation, expiryMilliseconds });
+    const grantMilliseconds = this.#margins.accrualAfterExpiry
+      ? safety.GRANT_LIFETIME_MILLISECONDS
+      : 0;
+    this.#reclaimMilliseconds.set(shard, expiryMilliseconds + grantMilliseconds);
     return true;
   }
 }
--- a/packages/limits/src/waiting_heap.ts
+++ b/packages/limits/src/waiting_heap.ts
@@ -1,12 +1,13 @@
 /**
- * A binary heap whose entries know their place, so that any of them can leave in logarithmic time.
+ * A binary heap whose entries store their index, so that any entry can be removed in logarithmic
+ * time.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 
 /** An entry of a heap. */
 export interface HeapEntry {
-  /** Place in the heap; -1 outside of it. Only the heap changes it. */
+  /** Index in the heap; -1 when the entry is not in the heap. Only the heap changes it. */
   heapIndex: number;
 }
 
@@ -46,7 +47,7 @@
     }
   }
 
-  /** Finds the place of an entry whose order has changed. */
+  /** Restores the heap order after the order of an entry has changed. */
   update(entry: Entry): void {
     this.#moveUp(entry);
     this.#moveDown(entry);
--- a/packages/limits/src/weighted_fair_queue.ts
+++ b/packages/limits/src/weighted_fair_queue.ts
@@ -1,10 +1,11 @@
 /**
- * Shares the slots of a full service between workspaces by start-time fair queueing.
+ * Divides the slots of a service at capacity between workspaces by start-time fair queueing.
  *
- * Each workspace that waits has a queue of its own for each weight of its routes. The next free slot goes to the queue with the
- * least virtual start time; serving a request moves that time on by one over the weight. A workspace
- * that was silent starts at the virtual time of the service, so it neither pays for its silence nor
- * saves it up. Only workspaces that wait have any state.
+ * Each workspace with waiting requests has a separate queue for each weight of its routes. The next
+ * free slot goes to the queue with the least virtual start time; serving a request advances that
+ * time by one over the weight. A workspace that was idle starts at the virtual time of the service,
+ * so its idle time is neither a penalty nor a credit. Queues exist only while requests wait for the
+ * service.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -14,7 +15,7 @@
 import type * as types from "./types.ts";
 import * as heaps from "./waiting_heap.ts";
 
-/** Bounds of the queues. */
+/** Limits on the number of waiting requests. */
 export interface FairQueueOptions {
   readonly maximumPerWorkspace: number;
   readonly maximumPerService: number;
@@ -22,29 +23,29 @@
 
 const DEFAULT_OPTIONS: FairQueueOptions = { maximumPerWorkspace: 100, maximumPerService: 1_000 };
 
-/** Retry time while the pace of a service is not known yet. */
-const UNKNOWN_RETRY_MILLISECONDS = 1_000;
+/** Retry time while the start interval of a service is unknown. */
+const DEFAULT_RETRY_MILLISECONDS = 1_000;
 
-const SHORTEST_RETRY_MILLISECONDS = 50;
+const MINIMUM_RETRY_MILLISECONDS = 50;
 
-/** Weight of the latest interval in the estimate of a service's pace. */
-const PACE_GAIN = 0.05;
+/** Weight of the latest measurement in the estimate of a service's start interval. */
+const START_INTERVAL_GAIN = 0.05;
 
-/** A longer time between two starts says nothing of the pace. */
-const LONGEST_INTERVAL_MILLISECONDS = 10_000;
+/** A longer time between two starts is not representative and is left out of the estimate. */
+const MAXIMUM_START_INTERVAL_MILLISECONDS = 10_000;
 
-const OPEN_ROUTES = "";
+const OPEN_ROUTES_KEY = "";
 
-interface Waiting {
+interface WaitingRequest {
   readonly queue: WorkspaceQueue;
   readonly weight: number;
-  /** Takes a slot and ends the wait; false while none is free. */
-  readonly attempt: () => boolean;
+  /** Acquires a slot and ends the wait. Returns false if no slot is free. */
+  readonly tryStart: () => boolean;
 }
 
 interface WorkspaceQueue extends heaps.HeapEntry {
-  /** In the order of arrival. A set, so that any request can leave at once. */
-  readonly waiting: Set<Waiting>;
+  /** In order of arrival. A set, so that any request can be removed in constant time. */
+  readonly waiting: Set<WaitingRequest>;
   virtualStart: number;
 }
 
@@ -53,10 +54,15 @@
   readonly heap: heaps.WaitingHeap<WorkspaceQueue>;
   waitingCount: number;
   virtualTime: number;
-  /** Latest start of a request while others waited; minus infinity when none has waited since. */
+  /**
+   * When a waiting request last started; minus infinity if the service has had no waiting requests
+   * since.
+   */
   lastStartMilliseconds: number;
-  /** Estimated time between two starts while requests wait; undefined until it is known. */
-  paceMilliseconds: number | undefined;
+  /**
+   * Estimated time between two starts while requests wait; undefined until it has been measured.
+   */
+  startIntervalMilliseconds: number | undefined;
 }
 
 /** Serves waiting requests in the order of weighted fair queueing. */
@@ -96,23 +102,24 @@
       this.#outcomes.inc({ outcome: "at_once" });
       return Promise.resolve(neverthrow.ok(lease));
     }
-    // Routes of different weights do not wait behind each other, not even in one workspace.
-    const key = `${request.workspace ?? OPEN_ROUTES} ${request.weight}`;
-    const ahead = this.#estimateWait(service, key, request.weight);
+    // Requests of routes with different weights do not wait behind each other, even in one
+    // workspace.
+    const key = `${request.workspace ?? OPEN_ROUTES_KEY} ${request.weight}`;
+    const estimatedWait = this.#estimateWait(service, key, request.weight);
     const queued = service.queues.get(key)?.waiting.size ?? 0;
     const isFull = queued >= this.#options.maximumPerWorkspace ||
       service.waitingCount >= this.#options.maximumPerService;
     if (isFull) {
-      return Promise.resolve(this.#refuse("queue_full", ahead));
+      return Promise.resolve(this.#refuse("queue_full", estimatedWait));
     }
     const now = kernel.getMonotonicMilliseconds();
-    // A request that would be given up on later is refused now, so that its caller can go on.
-    const isHopeless = service.waitingCount > 0 &&
-      now + (ahead ?? 0) >= request.deadlineMilliseconds;
-    if (isHopeless || now >= request.deadlineMilliseconds) {
-      return Promise.resolve(this.#refuse("queue_timeout", ahead));
+    // A request that would time out in the queue is refused now, so that its caller need not wait.
+    const wouldTimeOut = service.waitingCount > 0 &&
+      now + (estimatedWait ?? 0) >= request.deadlineMilliseconds;
+    if (wouldTimeOut || now >= request.deadlineMilliseconds) {
+      return Promise.resolve(this.#refuse("queue_timeout", estimatedWait));
     }
-    return this.#wait(service, key, request);
+    return this.#waitForSlot(service, key, request);
   }
 
   notifyCapacity(id: model.ServiceId): void {
@@ -123,13 +130,13 @@
     for (;;) {
       const queue = service.heap.peek();
       const [first] = queue?.waiting ?? [];
-      if (queue === undefined || first === undefined || !first.attempt()) {
+      if (queue === undefined || first === undefined || !first.tryStart()) {
         return;
       }
     }
   }
 
-  #wait<Lease>(
+  #waitForSlot<Lease>(
     service: ServiceQueue,
     key: string,
     request: types.QueueRequest<Lease>,
@@ -137,16 +144,16 @@
     const entered = kernel.getMonotonicMilliseconds();
     return new Promise((resolve) => {
       const finish = (result: neverthrow.Result<Lease, errors.QueueRefusal>) => {
-        this.#leave(request.service, service, waiting);
+        this.#dequeue(request.service, service, waiting);
         clearTimeout(timer);
         request.signal.removeEventListener("abort", onAbort);
         resolve(result);
       };
       const queue = this.#getQueue(service, key);
-      const waiting: Waiting = {
+      const waiting: WaitingRequest = {
         queue,
         weight: request.weight,
-        attempt: () => {
+        tryStart: () => {
           const lease = request.tryAcquire();
           if (lease === undefined) {
             return false;
@@ -161,15 +168,15 @@
       };
       const onAbort = () => finish(this.#refuse("cancelled", 0));
       const timer = setTimeout(() => {
-        const ahead = this.#estimateWait(service, key, request.weight);
-        finish(this.#refuse("queue_timeout", ahead));
+        const estimatedWait = this.#estimateWait(service, key, request.weight);
+        finish(this.#refuse("queue_timeout", estimatedWait));
       }, request.deadlineMilliseconds - entered);
       request.signal.addEventListener("abort", onAbort, { once: true });
-      this.#join(service, waiting);
+      this.#enqueue(service, waiting);
     });
   }
 
-  #join(service: ServiceQueue, waiting: Waiting): void {
+  #enqueue(service: ServiceQueue, waiting: WaitingRequest): void {
     const { queue } = waiting;
     queue.waiting.add(waiting);
     service.waitingCount++;
@@ -178,45 +185,45 @@
     }
   }
 
-  #leave(id: model.ServiceId, service: ServiceQueue, waiting: Waiting): void {
+  #dequeue(id: model.ServiceId, service: ServiceQueue, waiting: WaitingRequest): void {
     const { queue } = waiting;
     queue.waiting.delete(waiting);
     service.waitingCount--;
     if (queue.waiting.size === 0) {
       service.heap.remove(queue);
     }
-    // A queue that is ahead of the virtual time is kept while others wait: leaving and coming back
-    // must not gain a workspace anything.
+    // A queue that is ahead of the virtual time is kept while others wait, so that a workspace
+    // gains no advantage by leaving and rejoining.
     if (service.waitingCount === 0) {
       service.queues.clear();
       service.virtualTime = 0;
       service.lastStartMilliseconds = Number.NEGATIVE_INFINITY;
-      this.#forgetIfNew(id, service);
+      this.#removeIfUnmeasured(id, service);
     }
   }
 
-  #forgetIfNew(id: model.ServiceId, service: ServiceQueue): void {
-    if (service.paceMilliseconds === undefined) {
+  #removeIfUnmeasured(id: model.ServiceId, service: ServiceQueue): void {
+    if (service.startIntervalMilliseconds === undefined) {
       this.#services.delete(id);
     }
   }
 
-  #recordStart(service: ServiceQueue, waiting: Waiting, now: number): void {
+  #recordStart(service: ServiceQueue, waiting: WaitingRequest, now: number): void {
     const { queue } = waiting;
     service.virtualTime = queue.virtualStart;
     queue.virtualStart += 1 / waiting.weight;
     service.heap.update(queue);
     const interval = now - service.lastStartMilliseconds;
     service.lastStartMilliseconds = now;
-    if (interval <= LONGEST_INTERVAL_MILLISECONDS) {
-      const pace = service.paceMilliseconds ?? interval;
-      service.paceMilliseconds = pace + PACE_GAIN * (interval - pace);
+    if (interval <= MAXIMUM_START_INTERVAL_MILLISECONDS) {
+      const estimate = service.startIntervalMilliseconds ?? interval;
+      service.startIntervalMilliseconds = estimate + START_INTERVAL_GAIN * (interval - estimate);
     }
-    this.#forgetPassed(service);
+    this.#removePassedQueues(service);
   }
 
-  /** Queues without requests that the virtual time has passed are as good as new ones. */
-  #forgetPassed(service: ServiceQueue): void {
+  /** Removes empty queues that the virtual time has passed, which are equivalent to new ones. */
+  #removePassedQueues(service: ServiceQueue): void {
     if (service.queues.size <= 2 * service.heap.size + 8) {
       return;
     }
@@ -228,22 +235,22 @@
   }
 
   /**
-   * Time until a further request of a workspace would start: its own queue is served at its share
-   * of the service's pace. Undefined while the pace is not known.
+   * Estimates the time until another request of a workspace would start, with its queue served at
+   * its share of the service's throughput. Undefined while the start interval is unknown.
    */
   #estimateWait(service: ServiceQueue, key: string, weight: number): number | undefined {
-    if (service.paceMilliseconds === undefined) {
+    if (service.startIntervalMilliseconds === undefined) {
       return undefined;
     }
     const queue = service.queues.get(key);
     const ownStart = Math.max(queue?.virtualStart ?? 0, service.virtualTime);
     const queued = queue?.waiting.size ?? 0;
     const virtualWait = ownStart - service.virtualTime + queued / weight;
-    // At most one request of each other queue per unit of virtual time and weight, and never more
-    // than wait in all.
+    // Each other queue starts at most one request per unit of virtual time and weight, and all of
+    // them together at most as many as are waiting.
     const others = service.heap.size - (queued > 0 ? 1 : 0);
     const startsBefore = Math.min(service.waitingCount, queued + others * (virtualWait + 1));
-    return (startsBefore + 1) * service.paceMilliseconds;
+    return (startsBefore + 1) * service.startIntervalMilliseconds;
   }
 
   #refuse(
@@ -251,8 +258,8 @@
     waitMilliseconds: number | undefined,
   ): neverthrow.Err<never, errors.QueueRefusal> {
     this.#outcomes.inc({ outcome: kind });
-    const wait = waitMilliseconds ?? UNKNOWN_RETRY_MILLISECONDS;
-    const retryAfterMilliseconds = Math.max(SHORTEST_RETRY_MILLISECONDS, Math.ceil(wait));
+    const wait = waitMilliseconds ?? DEFAULT_RETRY_MILLISECONDS;
+    const retryAfterMilliseconds = Math.max(MINIMUM_RETRY_MILLISECONDS, Math.ceil(wait));
     return neverthrow.err({ kind, retryAfterMilliseconds });
   }
 
@@ -265,7 +272,7 @@
         waitingCount: 0,
         virtualTime: 0,
         lastStartMilliseconds: Number.NEGATIVE_INFINITY,
-        paceMilliseconds: undefined,
+        startIntervalMilliseconds: undefined,
       };
       this.#services.set(id, service);
     }
--- a/packages/limits/test/escrow_limiter_test.ts
+++ b/packages/limits/test/escrow_limiter_test.ts
@@ -1,5 +1,5 @@
 /**
- * The escrow limiter in chosen situations, against the oracle.
+ * Checks the escrow limiter against the oracle in specific scenarios.
  */
 
 import assert from "node:assert/strict";
@@ -10,13 +10,13 @@
 
 const READY_MILLISECONDS = 4_500;
 
-/** How far the views of neighbouring VMs are apart. */
+/** Offsets between neighbouring VMs in the pattern of the members that each VM does not see. */
 const VIEW_STEPS = [1, 2, 3, 5, 6, 7, 9, 11];
 
-/** Several leases: time for votes of the past to be given up. */
+/** Several leases, in which earlier votes expire or are released. */
 const SETTLE_MILLISECONDS = 15_000;
 
-/** Whether messages from one VM's data centre to the other's go from the first to the second. */
+/** Whether messages from one VM to the other go from the first data centre to the second. */
 function isNextDataCentre(vm: harness.TestVm, other: harness.TestVm): boolean {
   const [first, second] = ["dc-0", "dc-1"];
   return vm.identity.dataCentre === first && other.identity.dataCentre === second;
@@ -56,7 +56,7 @@
     fleet.stop();
   });
 
-  test.it("asks through a third VM while the way to a coordinator is cut", async () => {
+  test.it("requests tokens through an intermediary VM when a direct path is cut", async () => {
     // Enough workspaces that some have their coordinator in each data centre.
     const workspaces = Array.from(
       { length: 12 },
@@ -70,7 +70,7 @@
         fleet.setCut(vm, other, true);
       }
     }
-    // The first second is for each VM to find out which ways are cut.
+    // In the first second, the VMs detect which paths are cut.
     await clock.advance(1_000);
     for (let step = 0; step < 400; step++) {
       const vm = fleet.vms[step % fleet.vms.length]!;
@@ -102,7 +102,8 @@
       fleet.publishMembers();
       await clock.advance(SETTLE_MILLISECONDS);
       assert.equal(await sumGauge(fleet, "hemlockwalk_limits_shards"), limits.SHARD_COUNT);
-      // A second claimant would keep the votes that it has, and be asked in vain by who gave them.
+      // A second claimant would keep its votes, and its voters would send it requests that it
+      // cannot grant.
       assert.equal(await sumGauge(fleet, "hemlockwalk_limits_claimed_shards"), limits.SHARD_COUNT);
       fleet.stop();
     });
@@ -112,7 +113,8 @@
       const fleet = new harness.TestFleet({ vmCount: 5, vmLimit: 5, workspaces: [workspace] });
       await clock.advance(READY_MILLISECONDS + 60_000, 100);
       const coordinator = fleet.getCoordinator(workspace.id);
-      // Half of the burst is spent, so the level is known and not the one of a silent workspace.
+      // Half of the burst is spent, so the level is listed in the handover and differs from that of
+      // an idle workspace.
       for (let request = 0; request < 50; request++) {
         fleet.request(coordinator, workspace.id);
       }
--- a/packages/limits/test/fleet_harness.ts
+++ b/packages/limits/test/fleet_harness.ts
@@ -1,6 +1,6 @@
 /**
- * Several VMs with escrow limiters on one in-memory network, and the oracle that every admission of
- * every VM goes through.
+ * A fleet of VMs with rate limiters on one in-memory network, and an oracle that checks every
+ * admission.
  */
 
 import * as asyncHooks from "node:async_hooks";
@@ -15,7 +15,7 @@
 
 const TOLERANCE = 1e-6;
 
-/** The process that the running code belongs to. */
+/** The simulated process to which the running code belongs. */
 interface TestProcess {
   isPaused: boolean;
   /** Timers that became due during the pause. */
@@ -23,8 +23,8 @@
 }
 
 /**
- * Makes timers belong to the VM that set them, so that a pause holds them too. Created after the
- * test's clock and restored before it.
+ * Associates timers with the VM that set them, so that a pause of the VM defers them too. Created
+ * after the test's clock and restored before it.
  */
 class ProcessTimers {
   readonly #storage = new asyncHooks.AsyncLocalStorage<TestProcess | undefined>();
@@ -50,7 +50,10 @@
   }
 }
 
-/** One token bucket for a workspace, fed with every admission. It may not run below zero. */
+/**
+ * One token bucket for a workspace, from which every admission takes a token. An admission without
+ * a token is a violation.
+ */
 export class Oracle {
   #bucket: limits.TokenBucket;
   #rate: number;
@@ -72,8 +75,9 @@
   }
 
   /**
-   * Changes the bound. The promise is about intervals: one that contains the change has the higher
-   * burst, so a raise adds to the level at once, and a lower burst clamps it.
+   * Changes rate and burst. The invariant applies to intervals, and an interval that contains the
+   * change has the higher burst: a raise adds to the level at once, and a lower burst clamps the
+   * level.
    */
   configure(rate: number, burst: number, nowMilliseconds: number): void {
     if (rate === this.#rate && burst === this.#burst) {
@@ -86,8 +90,8 @@
   }
 }
 
-/** A configuration that the test sets and that moves only forward. */
-export class ForwardConfiguration extends configurationTesting.SettableConfiguration {
+/** A configuration that the test sets and that ignores older release notes. */
+export class MonotonicConfiguration extends configurationTesting.SettableConfiguration {
   override getSnapshot(): configuration.Snapshot {
     return kernel.getDefined(super.getSnapshot(), "A VM of a test starts with a configuration.");
   }
@@ -103,7 +107,7 @@
   return { id: model.createWorkspaceId(id), rate, burst, weight: 1 };
 }
 
-/** A plain configuration that finds one workspace of many in constant time. */
+/** A plain configuration that finds a workspace in constant time. */
 class WorkspaceSnapshot extends configurationTesting.PlainSnapshot {
   readonly #workspaces: ReadonlyMap<model.WorkspaceId, model.Workspace>;
 
@@ -118,7 +122,7 @@
   }
 }
 
-/** A configuration with nothing but workspaces. */
+/** Creates a configuration that contains only workspaces. */
 export function createSnapshot(
   number: number,
   vmLimit: number,
@@ -131,23 +135,23 @@
 export interface TestVm {
   readonly identity: fleet.VmIdentity;
   readonly membership: fleetTesting.FixedMembership;
-  readonly configuration: ForwardConfiguration;
+  readonly configuration: MonotonicConfiguration;
   readonly metrics: kernel.Metrics;
   readonly limiter: limits.RateLimiter;
   readonly process: TestProcess;
   state: "alive" | "paused" | "leaving" | "dead";
 }
 
-/** What a fleet of a test is made of. */
+/** Options of a test fleet. */
 export interface FleetOptions {
   readonly vmCount: number;
   readonly vmLimit: number;
   readonly workspaces: readonly model.Workspace[];
   readonly margins?: limits.SafetyMargins;
   readonly reservedPolicy?: limits.ReservedPolicy;
-  /** Another limiter than the escrow limiter. */
+  /** Creates another limiter than the escrow limiter. */
   readonly createLimiter?: (parts: limits.EscrowLimiterParts) => limits.RateLimiter;
-  /** Speed of a VM's clock against real time. */
+  /** Speed of a VM's clock relative to real time. */
   readonly getClockSpeed?: (index: number) => number;
 }
 
@@ -167,7 +171,7 @@
     this.#options = options;
     this.hub = new fleetTesting.MemoryHub();
     const transmit = this.hub.transmit.bind(this.hub);
-    // A frame on its way is no longer in the hands of the sender.
+    // A frame in transit no longer belongs to the process of the sender.
     this.hub.transmit = (...frame) => this.#timers.run(undefined, () => transmit(...frame));
     this.snapshot = createSnapshot(1, options.vmLimit, options.workspaces);
     const now = kernel.getMonotonicMilliseconds();
@@ -197,7 +201,7 @@
     }));
   }
 
-  /** The VM that should coordinate a workspace, where the given members are known. */
+  /** The VM that should coordinate a workspace according to the given members. */
   getCoordinator(
     workspace: model.WorkspaceId,
     members: readonly fleet.Member[] = this.listMembers(),
@@ -211,17 +215,17 @@
     );
   }
 
-  /** Tells VMs the true list; the others keep the one they have. */
-  publishMembers(isTold: (vm: TestVm) => boolean = () => true): void {
+  /** Sends the current list of members to the selected VMs; the others keep their list. */
+  publishMembers(isUpdated: (vm: TestVm) => boolean = () => true): void {
     const members = this.listMembers();
     for (const vm of this.vms) {
-      if (vm.state !== "dead" && isTold(vm)) {
+      if (vm.state !== "dead" && isUpdated(vm)) {
         vm.membership.set(members);
       }
     }
   }
 
-  /** Starts a VM that nobody else knows yet. */
+  /** Starts a VM that no other VM lists yet. */
   addVm(): TestVm {
     const index = this.#started++;
     const identity: fleet.VmIdentity = {
@@ -231,7 +235,7 @@
     };
     const member: fleet.Member = { ...identity, address: "127.0.0.1:1", state: "live" };
     const membership = new fleetTesting.FixedMembership(identity, [member]);
-    const settable = new ForwardConfiguration(this.snapshot);
+    const settable = new MonotonicConfiguration(this.snapshot);
     const metrics = new kernel.Metrics();
     const speed = this.#options.getClockSpeed?.(index) ?? 1;
     const process: TestProcess = { isPaused: false, dueTimers: [] };
@@ -269,7 +273,7 @@
     this.hub.disconnect(vm.identity.vm);
   }
 
-  /** The process stands still: nothing arrives, and the test sends it no requests. */
+  /** Suspends the process: its messages and timers are deferred until it is resumed. */
   pause(vm: TestVm): void {
     vm.state = "paused";
     vm.process.isPaused = true;
@@ -285,7 +289,7 @@
     this.hub.resume(vm.identity.vm);
   }
 
-  /** Stops a VM in order. */
+  /** Drains a VM and then stops it. */
   async drain(vm: TestVm): Promise<void> {
     vm.state = "leaving";
     await this.#timers.run(vm.process, () => vm.limiter.drain?.());
@@ -294,15 +298,15 @@
     }
   }
 
-  /** Cuts or heals one direction between two VMs. */
+  /** Cuts or restores one direction between two VMs. */
   setCut(from: TestVm, to: TestVm, cut: boolean): void {
     this.hub.getLink(from.identity.vm, to.identity.vm).cut = cut;
   }
 
   /**
-   * Sends a request to a VM. Its admission goes through the oracle when it is given.
+   * Sends a request to a VM. The oracle records an admission at the time of the decision.
    *
-   * @param onDecision Called with the decision and the time for which it took.
+   * @param onDecision Called with the decision and the time that it took.
    */
   request(
     vm: TestVm,
--- a/packages/limits/test/histories.ts
+++ b/packages/limits/test/histories.ts
@@ -1,6 +1,7 @@
 /**
- * Random histories of a fleet under heavy load: cuts, pauses, losses, replacements, lagging lists,
- * notes in mid-flight, clock steps, slow and repeating links, and planned stops.
+ * Random histories of a fleet under heavy load: links are cut, VMs are paused, killed, replaced and
+ * drained, member lists are out of date, release notes reach VMs at different times, the wall clock
+ * is stepped, and links delay and repeat messages.
  */
 
 import assert from "node:assert/strict";
@@ -20,7 +21,9 @@
 const RESERVED_POLICY: limits.ReservedPolicy = { share: 0.3, minimumBurst: 60 };
 const CLOCK_SPEEDS = [1, 1.0009, 0.9991] as const;
 
-/** Longest time from the last VM's change of configuration until nothing of the old one is spent. */
+/**
+ * Longest time from the last VM's change of configuration until no token of the old one is spent.
+ */
 const SETTLE_MILLISECONDS = 4_000;
 
 const WORKSPACES = [
@@ -35,19 +38,19 @@
   readonly dueMilliseconds: number;
 }
 
-interface Fading {
+interface RetiringConfiguration {
   readonly number: number;
   readonly untilMilliseconds: number;
 }
 
-/** The fleet under test, with the notes that are on their way. */
+/** The fleet under test, with the release notes that have not reached all VMs. */
 export class History {
   readonly fleet: harness.TestFleet;
   readonly #clock: kernelTesting.TestClock;
   readonly #notes: configuration.Snapshot[] = [];
   #deliveries: Delivery[] = [];
-  #fading: Fading[] = [];
-  #realNow: (() => number) | undefined;
+  #retiring: RetiringConfiguration[] = [];
+  #originalNow: (() => number) | undefined;
 
   constructor(clock: kernelTesting.TestClock, margins: limits.SafetyMargins) {
     this.#clock = clock;
@@ -66,18 +69,18 @@
     await this.#clock.advance(READY_MILLISECONDS, STEP_MILLISECONDS);
   }
 
-  /** Lets time pass; the VMs of the mask get more requests than any rate allows. */
-  async pass(milliseconds: number, mask: number): Promise<void> {
+  /** Advances the time; the VMs of the mask receive more requests than any rate allows. */
+  async advance(milliseconds: number, mask: number): Promise<void> {
     for (let elapsed = 0; elapsed < milliseconds; elapsed += STEP_MILLISECONDS) {
       this.#deliverNotes();
-      this.#followBounds();
+      this.#updateBounds();
       this.#sendRequests(mask);
       await this.#clock.advance(STEP_MILLISECONDS, STEP_MILLISECONDS);
     }
-    assert.equal(this.fleet.violations, 0, "An admission was too many.");
+    assert.equal(this.fleet.violations, 0, "Admissions exceeded rate or burst.");
   }
 
-  /** The VM that a command means; VMs that are gone are not counted. */
+  /** The VM to which the index of a command refers; dead VMs are not counted. */
   pick(index: number): harness.TestVm {
     const present = this.listPresent();
     return kernel.getDefined(present[index % present.length], "The last VM is never killed.");
@@ -110,7 +113,7 @@
     if (vm.state === "alive") {
       this.fleet.pause(vm);
     } else if (vm.state === "paused") {
-      // What the callers sent meanwhile is handled before anything else.
+      // Requests that callers sent meanwhile are handled before anything else.
       vm.state = "alive";
       this.#sendTo(vm);
       this.fleet.resume(vm);
@@ -140,17 +143,17 @@
     }
   }
 
-  /** Sets the wall clock of the machine to another time. */
+  /** Steps the wall clock of the machine. */
   stepClock(milliseconds: number): void {
     const earlier = Date.now;
-    this.#realNow ??= earlier;
+    this.#originalNow ??= earlier;
     Date.now = () => earlier() + milliseconds;
   }
 
   stop(): void {
     this.fleet.stop();
-    if (this.#realNow !== undefined) {
-      Date.now = this.#realNow;
+    if (this.#originalNow !== undefined) {
+      Date.now = this.#originalNow;
     }
   }
 
@@ -185,16 +188,19 @@
       }
       const earlier = delivery.vm.configuration.getSnapshot().number;
       delivery.vm.configuration.set(delivery.snapshot);
-      this.#fading.push({ number: earlier, untilMilliseconds: now + SETTLE_MILLISECONDS });
+      this.#retiring.push({ number: earlier, untilMilliseconds: now + SETTLE_MILLISECONDS });
     }
     this.#deliveries = left;
   }
 
-  /** Until the last VM has followed, the higher of the rates and bursts in force is the bound. */
-  #followBounds(): void {
+  /**
+   * Sets the oracles to the highest rate and burst in force, until the last VM has applied a
+   * release note.
+   */
+  #updateBounds(): void {
     const now = kernel.getMonotonicMilliseconds();
-    this.#fading = this.#fading.filter((fading) => fading.untilMilliseconds > now);
-    const numbers = new Set<number>(this.#fading.map((fading) => fading.number));
+    this.#retiring = this.#retiring.filter((retiring) => retiring.untilMilliseconds > now);
+    const numbers = new Set<number>(this.#retiring.map((retiring) => retiring.number));
     for (const vm of this.listPresent()) {
       numbers.add(vm.configuration.getSnapshot().number);
     }
@@ -246,7 +252,7 @@
   async run(state: Model, history: History): Promise<void> {
     state.steps++;
     this.#act(history);
-    await history.pass(this.#milliseconds, this.#mask);
+    await history.advance(this.#milliseconds, this.#mask);
   }
 
   toString(): string {
@@ -256,7 +262,7 @@
 
 const vmIndex = fastCheck.nat({ max: MAXIMUM_ALIVE - 1 });
 const listMask = fastCheck.nat({ max: 63 });
-const passing = fastCheck.tuple(
+const loadPeriod = fastCheck.tuple(
   fastCheck.constantFrom(25, 100, 300, 900, 2_500),
   fastCheck.constantFrom(63, 63, 0, 0, 1, 2, 4),
 );
@@ -267,7 +273,7 @@
   first: fastCheck.Arbitrary<number> = vmIndex,
   second: fastCheck.Arbitrary<number> = vmIndex,
 ): fastCheck.Arbitrary<Step> {
-  return fastCheck.tuple(first, second, passing).map(([one, two, time]) =>
+  return fastCheck.tuple(first, second, loadPeriod).map(([one, two, time]) =>
     new Step(`${name}(${one}, ${two})`, (history) => act(history, one, two), time)
   );
 }
@@ -342,15 +348,15 @@
   ),
 ];
 
-/** Sequences of steps. */
+/** Generates sequences of steps. */
 export function createHistories(maximumSteps: number): fastCheck.Arbitrary<
   Iterable<fastCheck.AsyncCommand<Model, History>>
 > {
   return fastCheck.commands([...steps], { maxCommands: maximumSteps, size: "max" });
 }
 
-/** Plays one history. */
-export async function playHistory(
+/** Runs one history. */
+export async function runHistory(
   clock: kernelTesting.TestClock,
   margins: limits.SafetyMargins,
   commands: Iterable<fastCheck.AsyncCommand<Model, History>>,
--- a/packages/limits/test/histories_test.ts
+++ b/packages/limits/test/histories_test.ts
@@ -1,5 +1,5 @@
 /**
- * Random histories with a fixed seed: no admission may ever be too many.
+ * Random histories with a fixed seed: admissions must never exceed rate and burst.
  */
 
 import * as test from "node:test";
@@ -19,7 +19,7 @@
       async (commands) => {
         const clock = new kernelTesting.TestClock();
         try {
-          await histories.playHistory(clock, limits.SAFETY_MARGINS, commands);
+          await histories.runHistory(clock, limits.SAFETY_MARGINS, commands);
         } finally {
           clock.restore();
         }
--- a/packages/limits/test/queue_simulation.ts
+++ b/packages/limits/test/queue_simulation.ts
@@ -1,5 +1,6 @@
 /**
- * A service with a few slots behind a fair queue, and workspaces that send at given rates.
+ * Simulates a service with a few slots behind a queue, and workspaces that send requests at given
+ * rates.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -13,7 +14,7 @@
 const DEADLINE_MILLISECONDS = 2_000;
 const SERVICE = model.createServiceId("booking");
 
-/** What one workspace sends. */
+/** The requests that one workspace sends. */
 export interface Sender {
   readonly workspace: string;
   /** Senders whose results are counted together. */
@@ -22,14 +23,14 @@
   readonly weight: number;
 }
 
-/** What became of the requests of one group. */
+/** Results of the requests of one group. */
 export interface SenderResult {
   readonly latency: kernel.LatencyDistribution;
   served: number;
   refused: number;
 }
 
-/** Plays the senders against the queue for a given time. */
+/** Simulates senders that share a service through a queue. */
 export class QueueSimulation {
   readonly results = new Map<string, SenderResult>();
   readonly #clock: kernelTesting.TestClock;
@@ -50,7 +51,7 @@
     this.#random = mersenne.mersenne(seed);
   }
 
-  async play(senders: readonly Sender[], milliseconds: number): Promise<void> {
+  async run(senders: readonly Sender[], milliseconds: number): Promise<void> {
     const next = senders.map((sender) => this.#drawExponential(1_000 / sender.ratePerSecond));
     for (let elapsed = 0; elapsed < milliseconds; elapsed++) {
       for (const [index, sender] of senders.entries()) {
--- a/packages/limits/test/safety_margins_test.ts
+++ b/packages/limits/test/safety_margins_test.ts
@@ -1,6 +1,6 @@
 /**
- * Each safety margin in the situation that it is meant for: with it no admission is too many, and
- * with it switched off the oracle finds some.
+ * Runs each safety margin in the scenario against which it protects: with the margin, the oracle
+ * must find no excess admission; without it, the oracle must find some.
  */
 
 import assert from "node:assert/strict";
@@ -14,10 +14,10 @@
 
 const READY_MILLISECONDS = 4_500;
 
-/** Around the time at which the last votes for a coordinator end that was cut off. */
+/** Times around the expiry of the last votes for a coordinator that was cut off. */
 const PAUSES_AFTER_CUT_MILLISECONDS = [1_200, 1_300, 1_400, 1_500, 1_600, 1_700, 1_800, 1_900];
 
-/** A situation, played with the given margins. */
+/** A scenario that runs with the given margins. */
 class Scenario {
   readonly fleet: harness.TestFleet;
   readonly workspace: model.Workspace;
@@ -41,7 +41,7 @@
     });
   }
 
-  /** The VM that coordinates the workspace where the given members are known. */
+  /** The VM that should coordinate the workspace according to the given members. */
   getCoordinator(members: readonly fleet.Member[] = this.fleet.listMembers()): harness.TestVm {
     return this.fleet.getCoordinator(this.workspace.id, members);
   }
@@ -78,21 +78,21 @@
   }
 }
 
-type Play = (
+type ScenarioRun = (
   clock: kernelTesting.TestClock,
   margins: limits.SafetyMargins,
 ) => Promise<Scenario>;
 
-/** All clocks are fast by as much as the margin allows for. */
-const playFastClocks: Play = async (clock, margins) => {
+/** All clocks run fast by the drift that the margin allows. */
+const runFastClocks: ScenarioRun = async (clock, margins) => {
   const scenario = new Scenario(clock, margins, 400, 5, { getClockSpeed: () => 1.001 });
   await clock.advance(READY_MILLISECONDS);
   await scenario.load([scenario.getCoordinator()], 20_000, 6);
   return scenario;
 };
 
-/** A VM that holds grants stands still, while the others use what the coordinator has. */
-const playWakeWithOldGrants: Play = async (clock, margins) => {
+/** A VM that holds grants is paused, while requests at the coordinator use up its tokens. */
+const runWakeWithOldGrants: ScenarioRun = async (clock, margins) => {
   const scenario = new Scenario(clock, margins, 200, 100);
   await clock.advance(READY_MILLISECONDS);
   const coordinator = scenario.getCoordinator();
@@ -101,15 +101,15 @@
   scenario.fleet.pause(holder);
   await clock.advance(10_000);
   scenario.send(coordinator, 200);
-  // The first requests come before the process has handled anything else.
+  // These requests arrive before the process has handled anything else.
   scenario.send(holder, 200);
   scenario.fleet.resume(holder);
   await clock.advance(500);
   return scenario;
 };
 
-/** The coordinator dies just after the burst was spent. */
-const playCoordinatorLost: Play = async (clock, margins) => {
+/** The coordinator is killed just after the burst was spent. */
+const runCoordinatorLost: ScenarioRun = async (clock, margins) => {
   const scenario = new Scenario(clock, margins, 2, 100);
   await clock.advance(READY_MILLISECONDS + 60_000, 100);
   const coordinator = scenario.getCoordinator();
@@ -121,10 +121,10 @@
   return scenario;
 };
 
-/** A coordinator grants up to the end of its votes, to a VM that spends late. */
-const playLateGrants: Play = async (clock, margins) => {
+/** A coordinator grants tokens until its votes expire, to a VM that spends them late. */
+const runLateGrants: ScenarioRun = async (clock, margins) => {
   for (const pause of PAUSES_AFTER_CUT_MILLISECONDS) {
-    const scenario = await playLateGrant(clock, margins, pause);
+    const scenario = await runLateGrant(clock, margins, pause);
     if (scenario.fleet.violations > 0 || pause === PAUSES_AFTER_CUT_MILLISECONDS.at(-1)) {
       return scenario;
     }
@@ -133,7 +133,7 @@
   throw new Error("There is a last pause.");
 };
 
-async function playLateGrant(
+async function runLateGrant(
   clock: kernelTesting.TestClock,
   margins: limits.SafetyMargins,
   pauseMilliseconds: number,
@@ -160,8 +160,8 @@
   return scenario;
 }
 
-/** Two parts of the fleet each believe that the other is gone. */
-const playSplit: Play = async (clock, margins) => {
+/** Two parts of the fleet each list only their own VMs. */
+const runSplit: ScenarioRun = async (clock, margins) => {
   const scenario = new Scenario(clock, margins, 50, 50);
   await clock.advance(READY_MILLISECONDS);
   const { fleet } = scenario;
@@ -182,7 +182,7 @@
 };
 
 /** Three of five voters are replaced while the cut-off coordinator still holds their votes. */
-const playVotersReplaced: Play = async (clock, margins) => {
+const runVotersReplaced: ScenarioRun = async (clock, margins) => {
   const scenario = new Scenario(clock, margins, 100, 20);
   await clock.advance(READY_MILLISECONDS);
   const { fleet } = scenario;
@@ -201,8 +201,8 @@
   return scenario;
 };
 
-/** A note lowers the rate, and the coordinator never hears of it. */
-const playCoordinatorBehind: Play = async (clock, margins) => {
+/** A release note lowers the rate but does not reach the coordinator. */
+const runCoordinatorBehind: ScenarioRun = async (clock, margins) => {
   const scenario = new Scenario(clock, margins, 100, 20, {
     reservedPolicy: { share: 0, minimumBurst: 0 },
   });
@@ -221,8 +221,8 @@
   return scenario;
 };
 
-/** A VM gives unused tokens back, and then the whole burst is asked for. */
-const playReturn: Play = async (clock, margins) => {
+/** A VM returns unused tokens, and then requests for the whole burst arrive. */
+const runReturn: ScenarioRun = async (clock, margins) => {
   const scenario = new Scenario(clock, margins, 20, 100);
   await clock.advance(READY_MILLISECONDS + 10_000);
   const coordinator = scenario.getCoordinator();
@@ -237,23 +237,23 @@
 
 interface Row {
   readonly name: string;
-  readonly play: Play;
-  readonly off: Partial<limits.SafetyMargins>;
+  readonly run: ScenarioRun;
+  readonly disabled: Partial<limits.SafetyMargins>;
 }
 
 const ROWS: readonly Row[] = [
-  { name: "drift", play: playFastClocks, off: { clockDrift: 0 } },
-  { name: "grant expiry", play: playWakeWithOldGrants, off: { grantExpiry: false } },
-  { name: "empty start", play: playCoordinatorLost, off: { emptyStart: false } },
-  { name: "accrual after expiry", play: playLateGrants, off: { accrualAfterExpiry: false } },
-  { name: "vote quorum", play: playSplit, off: { quorum: false } },
-  { name: "voting wait", play: playVotersReplaced, off: { votingWait: false } },
+  { name: "drift", run: runFastClocks, disabled: { clockDrift: 0 } },
+  { name: "grant expiry", run: runWakeWithOldGrants, disabled: { grantExpiry: false } },
+  { name: "empty start", run: runCoordinatorLost, disabled: { emptyStart: false } },
+  { name: "accrual after expiry", run: runLateGrants, disabled: { accrualAfterExpiry: false } },
+  { name: "vote quorum", run: runSplit, disabled: { quorum: false } },
+  { name: "voting wait", run: runVotersReplaced, disabled: { votingWait: false } },
   {
     name: "configuration agreement",
-    play: playCoordinatorBehind,
-    off: { configurationAgreement: false },
+    run: runCoordinatorBehind,
+    disabled: { configurationAgreement: false },
   },
-  { name: "deduction before sending", play: playReturn, off: { deductionBeforeSending: false } },
+  { name: "deduction before sending", run: runReturn, disabled: { deductionBeforeSending: false } },
 ];
 
 test.describe("safety margins", () => {
@@ -266,17 +266,17 @@
     clock.restore();
   });
 
-  for (const { name, play, off } of ROWS) {
-    test.it(`${name}: keeps the promise`, async () => {
-      const scenario = await play(clock, limits.SAFETY_MARGINS);
+  for (const { name, run, disabled } of ROWS) {
+    test.it(`${name}: keeps the invariant`, async () => {
+      const scenario = await run(clock, limits.SAFETY_MARGINS);
       assert.equal(scenario.fleet.violations, 0);
       assert.ok(scenario.fleet.admissions > 0);
       scenario.fleet.stop();
     });
 
-    test.it(`${name}: the oracle finds its absence`, async () => {
-      const scenario = await play(clock, { ...limits.SAFETY_MARGINS, ...off });
-      assert.ok(scenario.fleet.violations > 0, "no admission was too many");
+    test.it(`${name}: the oracle detects its absence`, async () => {
+      const scenario = await run(clock, { ...limits.SAFETY_MARGINS, ...disabled });
+      assert.ok(scenario.fleet.violations > 0, "no admission exceeded rate or burst");
       scenario.fleet.stop();
     });
   }
--- a/packages/limits/test/weighted_fair_queue_test.ts
+++ b/packages/limits/test/weighted_fair_queue_test.ts
@@ -14,7 +14,7 @@
 const SEED = 11;
 const SLOTS = 12;
 
-/** Requests a second that the simulated service serves when all its slots are busy. */
+/** Requests per second that the simulated service serves when all its slots are busy. */
 const CAPACITY_PER_SECOND = 600;
 
 /** A service whose free slots the test sets. */
@@ -59,7 +59,7 @@
   });
 
   async function measureOthers(factor: number): Promise<simulation.SenderResult> {
-    const played = new simulation.QueueSimulation(
+    const simulated = new simulation.QueueSimulation(
       clock,
       new limits.WeightedFairQueue(new kernel.Metrics()),
       SLOTS,
@@ -72,27 +72,27 @@
       ratePerSecond: index === 0 ? ratePerSecond * factor : ratePerSecond,
       weight: 1,
     }));
-    await played.play(senders, 30_000);
-    return kernel.getDefined(played.results.get("others"), "The others sent requests.");
+    await simulated.run(senders, 30_000);
+    return kernel.getDefined(simulated.results.get("others"), "The others sent requests.");
   }
 
   test.it("moves the others' p99 by under a tenth when one sends five times its rate", async () => {
-    const calm = await measureOthers(1);
-    const flooded = await measureOthers(5);
-    const before = calm.latency.getQuantileMilliseconds(0.99);
-    const after = flooded.latency.getQuantileMilliseconds(0.99);
+    const baseline = await measureOthers(1);
+    const overloaded = await measureOthers(5);
+    const before = baseline.latency.getQuantileMilliseconds(0.99);
+    const after = overloaded.latency.getQuantileMilliseconds(0.99);
     assert.ok(after < 1.1 * before, `p99 went from ${before} to ${after} ms`);
-    assert.equal(flooded.refused, 0);
+    assert.equal(overloaded.refused, 0);
   });
 
   test.it("shares a full service by weight", async () => {
-    const played = new simulation.QueueSimulation(clock, queue, SLOTS, SEED);
-    await played.play([
+    const simulated = new simulation.QueueSimulation(clock, queue, SLOTS, SEED);
+    await simulated.run([
       { workspace: "city", group: "inspection", ratePerSecond: 600, weight: 3 },
       { workspace: "city", group: "permit", ratePerSecond: 600, weight: 1 },
     ], 20_000);
-    const inspection = played.results.get("inspection")!.served;
-    const permit = played.results.get("permit")!.served;
+    const inspection = simulated.results.get("inspection")!.served;
+    const permit = simulated.results.get("permit")!.served;
     assert.ok(inspection > 2.5 * permit, `${inspection} against ${permit}`);
     assert.ok(permit > 0.2 * inspection, `${inspection} against ${permit}`);
   });
@@ -116,7 +116,7 @@
     for (let request = 0; request < 30; request++) {
       void slots.enter(queue, "a", late);
     }
-    // One start every 100 ms shows the pace of the service.
+    // The queue estimates the start interval of the service from one start every 100 ms.
     for (let start = 0; start < 5; start++) {
       await clock.advance(100);
       slots.free = 1;
@@ -127,7 +127,7 @@
     assert.equal(kernel.getMonotonicMilliseconds(), now);
     assert.equal(refusal.kind, "queue_timeout");
     assert.ok(refusal.retryAfterMilliseconds >= 2_000, `${refusal.retryAfterMilliseconds} ms`);
-    // Another workspace does not wait behind all of them.
+    // A request of another workspace does not wait behind all of them.
     const other = slots.enter(queue, "b", now + 1_000);
     slots.free = 2;
     queue.notifyCapacity(SERVICE);
