--- a/packages/gateway/bench/overhead.ts
+++ b/packages/gateway/bench/overhead.ts
@@ -1,9 +1,10 @@
 /**
- * What the gateway adds to a request, and its throughput for a core against a bare forwarder.
+ * Measures the latency that the gateway adds to a request, and its throughput per CPU second
+ * relative to a minimal forwarder.
  *
- * Target, gateway and bare forwarder run in a process each, the callers in the main process.
- * Latencies are taken at a fixed rate, whether or not earlier requests have ended, so that a slow path
- * does not slow its callers. Throughput is taken at saturation, for each second of processor time.
+ * The target, the gateway and the minimal forwarder each run in a process of their own, the callers
+ * in the main process. Latency is measured under an open-loop load at a fixed rate, so that a slow
+ * path does not slow its callers down. Throughput is measured at saturation.
  *
  * Run: `node packages/gateway/dist/bench/overhead.js [seconds]`.
  */
@@ -18,12 +19,12 @@
 import * as harness from "../test/harness.ts";
 
 const FIXED_RATE = 150;
-const SATURATING_CONNECTIONS = 32;
+const SATURATION_CONNECTIONS = 32;
 const DEFAULT_SECONDS = 2;
 const WARM_UP_SECONDS = 2;
 const ROUNDS = 5;
 
-/** Between the requests of two paths, so that they do not meet at the caller. */
+/** Offset between the requests of two paths, so that they do not coincide in the caller. */
 const PATH_OFFSET_MILLISECONDS = 2.2;
 const BODY = "x".repeat(1_024);
 
@@ -56,7 +57,7 @@
   }
 }
 
-/** As little as a forwarder can do: hop-by-hop headers out, both bodies streamed. */
+/** A minimal forwarder: removes connection headers and streams both bodies. */
 function createBareForwarder(targetPort: number): http.Server {
   const pool = new undici.Pool(`http://127.0.0.1:${targetPort}`, {
     connections: 100,
@@ -82,7 +83,7 @@
 
 function removeConnectionHeaders(headers: http.IncomingHttpHeaders): http.IncomingHttpHeaders {
   const { connection, "keep-alive": keepAlive, ...kept } = headers;
-  // Copying all but these is quicker than deleting them.
+  // Copying all but these is faster than deleting them.
   void connection;
   void keepAlive;
   return kept;
@@ -108,8 +109,8 @@
   return new Promise((resolve) => child.once("message", resolve as (message: unknown) => void));
 }
 
-/** Seconds of processor time that a process has used. */
-async function getProcessorSeconds(child: childProcess.ChildProcess): Promise<number> {
+/** CPU time that a process has used, in seconds. */
+async function getCpuSeconds(child: childProcess.ChildProcess): Promise<number> {
   child.send("usage");
   const { usage } = await receive<{ usage: NodeJS.CpuUsage }>(child);
   return (usage.user + usage.system) / 1_000_000;
@@ -123,7 +124,7 @@
   });
   const text = await answer.body.text();
   if (answer.statusCode !== 200 || text.length !== BODY.length) {
-    throw new Error(`Answered ${answer.statusCode} with ${text.length} bytes.`);
+    throw new Error(`Unexpected response: status ${answer.statusCode}, ${text.length} bytes.`);
   }
 }
 
@@ -138,29 +139,29 @@
   for (let index = 0; index < seconds * FIXED_RATE; index++) {
     const wait = started + index * 1_000 / FIXED_RATE - performance.now();
     await new Promise((resolve) => setTimeout(resolve, Math.max(0, wait)));
-    // The callers' own timers are early or late on every path alike.
+    // Measured from the actual start: timer inaccuracy in the caller affects all paths alike.
     const begun = performance.now();
     running.push(sendOne(pool).then(() => distribution.record(performance.now() - begun)));
   }
   await Promise.all(running);
 }
 
-/** Requests for each second of processor time that the process used. */
+/** Requests per second of CPU time that the process used. */
 async function measureThroughput(
   pool: undici.Pool,
   child: childProcess.ChildProcess,
   seconds: number,
 ): Promise<number> {
-  const before = await getProcessorSeconds(child);
+  const before = await getCpuSeconds(child);
   const until = performance.now() + seconds * 1_000;
   let count = 0;
-  await Promise.all(Array.from({ length: SATURATING_CONNECTIONS }, async () => {
+  await Promise.all(Array.from({ length: SATURATION_CONNECTIONS }, async () => {
     while (performance.now() < until) {
       await sendOne(pool);
       count++;
     }
   }));
-  return count / (await getProcessorSeconds(child) - before);
+  return count / (await getCpuSeconds(child) - before);
 }
 
 function getMedian(values: readonly number[]): number {
@@ -177,7 +178,7 @@
   const pools = Object.fromEntries(
     Object.entries(paths).map(([name, { port }]) => [
       name,
-      new undici.Pool(`http://127.0.0.1:${port}`, { connections: SATURATING_CONNECTIONS }),
+      new undici.Pool(`http://127.0.0.1:${port}`, { connections: SATURATION_CONNECTIONS }),
     ]),
   );
   const getPool = (name: string) => kernel.getDefined(pools[name], "Each path has a pool.");
@@ -193,7 +194,7 @@
     );
   }
   for (let round = 0; round < ROUNDS; round++) {
-    // All paths at the same time, in turn, so that whatever else the machine does meets all alike.
+    // Measures all paths concurrently, so that other load on the machine affects them equally.
     await Promise.all(
       Object.entries(latencies).map(([name, distribution], index) =>
         measureLatency(getPool(name), seconds, index * PATH_OFFSET_MILLISECONDS, distribution)
@@ -203,7 +204,7 @@
       const { child } = paths[name as "bare" | "gateway"];
       const perSecond = await measureThroughput(getPool(name), child, seconds);
       list.push(perSecond);
-      print(`round ${round + 1} ${name}: ${perSecond.toFixed(0)} for a processor second`);
+      print(`round ${round + 1} ${name}: ${perSecond.toFixed(0)} requests per CPU second`);
     }
   }
   report(latencies, throughput);
@@ -230,7 +231,7 @@
     print(`${name} adds: p50 ${p50.toFixed(3)} ms, p99 ${p99.toFixed(3)} ms`);
   }
   const ratio = getMedian(throughput["gateway"] ?? []) / getMedian(throughput["bare"] ?? []);
-  print(`throughput for a core, gateway to bare forwarder: ${ratio.toFixed(2)}`);
+  print(`throughput per core, gateway relative to bare forwarder: ${ratio.toFixed(2)}`);
 }
 
 function print(line: string): void {
--- a/packages/gateway/src/admission.ts
+++ b/packages/gateway/src/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a request's key and route against the configuration in force.
+ * Checks a request's key and route against the current configuration.
  */
 
 import type * as http from "node:http";
@@ -15,7 +15,7 @@
 
 type AcceptResult = neverthrow.Result<types.AcceptedRequest, refusals.Refusal>;
 
-/** Largest body where the route declares no limit of its own. */
+/** Largest body if the route declares no limit. */
 const DEFAULT_BODY_LIMIT_BYTES = 10 * 1_024 * 1_024;
 
 interface Caller {
@@ -23,7 +23,7 @@
   readonly keyDigest: model.KeyDigest | undefined;
 }
 
-/** Finds the route and the workspace of a request. Nothing has run when it refuses. */
+/** Validates a request and finds its route and workspace. A refused request has not run. */
 export function acceptRequest(
   snapshot: configuration.Snapshot | undefined,
   request: http.IncomingMessage,
@@ -40,7 +40,7 @@
     return refuse(refusals.Refusals.noConfiguration);
   }
   const head = checked.value;
-  const found = keys.findKeys(request, head, snapshot.fleet.keyPlacement);
+  const found = keys.extractKeys(request, head, snapshot.fleet.keyPlacement);
   if (found.keys.size > 1) {
     return refuse(refusals.Refusals.keyConflict);
   }
@@ -103,8 +103,8 @@
 }
 
 /**
- * Whether the caller wants another protocol. An offer of HTTP/2 is passed over, as HTTP allows, since
- * common clients make it with every first request.
+ * Whether the caller asks for an upgrade to another protocol. An `h2c` upgrade is ignored, as HTTP
+ * allows, because common clients offer it with every first request.
  */
 function isUnsupportedUpgrade(request: http.IncomingMessage): boolean {
   const { upgrade } = request.headers;
--- a/packages/gateway/src/answers.ts
+++ b/packages/gateway/src/answers.ts
@@ -1,5 +1,5 @@
 /**
- * The answer of a target on its way to the caller.
+ * Streams a target's response to the caller.
  */
 
 import type * as http from "node:http";
@@ -7,13 +7,13 @@
 import type * as claims from "@hemlockwalk/claims";
 import * as headers from "./headers.ts";
 
-/** Largest answer that is kept for a caller's repeat. */
-const MAXIMUM_KEPT_BYTES = 64 * 1_024;
+/** Largest response that is stored for a caller's repeat. */
+const MAXIMUM_RECORDED_BYTES = 64 * 1_024;
 
-/** An answer up to this size that comes in one piece is sent together with its head. */
-const MAXIMUM_JOINED_BYTES = 16 * 1_024;
+/** A body up to this size that arrives in one chunk is written together with the headers. */
+const MAXIMUM_SINGLE_WRITE_BYTES = 16 * 1_024;
 
-/** Streams one answer to the caller and, on request, keeps a copy. */
+/** Streams one response to the caller and can record a copy. */
 export class CallerAnswer {
   readonly #response: http.ServerResponse;
   readonly #isClosing: () => boolean;
@@ -21,32 +21,32 @@
   #hasTrailers = false;
   #resume: () => void = () => {};
   #wroteBody = false;
-  /** Bytes that the answer's head announces; undefined when it comes in chunks. */
-  #announcedBytes: number | undefined;
+  /** The response's content length; undefined for a chunked body. */
+  #contentLength: number | undefined;
 
   /**
-   * @param response Where the answer goes.
-   * @param isClosing Whether the connection is to end after the answer.
+   * @param response The response to the caller.
+   * @param isClosing Whether to close the connection after the response.
    */
   constructor(response: http.ServerResponse, isClosing: () => boolean) {
     this.#response = response;
     this.#isClosing = isClosing;
   }
 
-  /** Keeps a copy of the answer from now on. */
+  /** Records a copy of the response; called before it begins. */
   record(): void {
     this.#recorder = new AnswerRecorder();
   }
 
-  /** The copy of a complete answer; undefined when it was too large or not asked for. */
+  /** The recorded response; undefined if it is incomplete, too large or was not recorded. */
   getRecorded(): claims.StoredAnswer | undefined {
     return this.#recorder?.getAnswer();
   }
 
   /**
-   * Sends the head.
+   * Sends status and headers.
    *
-   * @param resume Called when the caller has taken what was written, so that more may come.
+   * @param resume Called when the caller's connection can accept more data after `write` was false.
    */
   begin(
     status: number,
@@ -58,14 +58,14 @@
     this.#recorder?.begin(status, kept);
     this.#hasTrailers = kept.includes("trailer");
     const lengthIndex = kept.indexOf("content-length");
-    this.#announcedBytes = lengthIndex === -1 ? undefined : Number(kept[lengthIndex + 1]);
+    this.#contentLength = lengthIndex === -1 ? undefined : Number(kept[lengthIndex + 1]);
     const response = this.#response;
     if (this.#isClosing() || !response.shouldKeepAlive) {
       kept.push("connection", "close");
     }
     response.writeHead(status, statusText, kept);
     this.#resume = resume;
-    // A short answer goes out together with its head; a head whose body is late goes out alone.
+    // Waits one tick so that a short body goes out in the same write as the headers.
     process.nextTick(() => {
       if (!this.#wroteBody) {
         response.flushHeaders();
@@ -73,13 +73,15 @@
     });
   }
 
-  /** Sends a part of the body; false when the caller takes no more for now. */
+  /** Sends a chunk of the body; false if the caller must drain its connection before the next. */
   write(chunk: Buffer): boolean {
     const isFirst = !this.#wroteBody;
     this.#wroteBody = true;
     this.#recorder?.write(chunk);
-    if (isFirst && chunk.length === this.#announcedBytes && chunk.length <= MAXIMUM_JOINED_BYTES) {
-      // Head and body leave in one write of a string, which costs half of a write of two buffers.
+    if (
+      isFirst && chunk.length === this.#contentLength && chunk.length <= MAXIMUM_SINGLE_WRITE_BYTES
+    ) {
+      // Writing headers and body as one string costs half as much as writing two buffers.
       this.#response.end(chunk.toString("latin1"), "latin1");
       return true;
     }
@@ -90,7 +92,7 @@
     return takesMore;
   }
 
-  /** Ends the answer, which is complete. */
+  /** Ends a complete response. */
   finish(rawTrailers: readonly (string | Buffer)[]): void {
     this.#wroteBody = true;
     this.#recorder?.finish();
@@ -104,7 +106,7 @@
     this.#response.end();
   }
 
-  /** Sends a kept answer again. */
+  /** Sends a stored response. */
   replay(answer: claims.StoredAnswer): void {
     const kept = [...answer.headers];
     if (this.#isClosing()) {
@@ -115,10 +117,10 @@
   }
 
   /**
-   * Ends an answer that is not complete, so that the caller can tell. A plain close would look like
-   * the end of an answer that is delimited by it, so the connection is reset.
+   * Aborts an incomplete response so that the caller can detect it. The connection is reset, since
+   * an orderly close could look like the end of a response that is delimited by the close.
    */
-  cut(): void {
+  abort(): void {
     const { socket } = this.#response;
     if (socket !== null && "encrypted" in socket === false) {
       socket.resetAndDestroy();
@@ -128,7 +130,7 @@
   }
 }
 
-/** Collects an answer up to a bound. */
+/** Records a response up to a size limit. */
 class AnswerRecorder {
   #status = 0;
   #headers: readonly string[] = [];
@@ -143,10 +145,10 @@
 
   write(chunk: Buffer): void {
     this.#size += chunk.length;
-    if (this.#size > MAXIMUM_KEPT_BYTES) {
+    if (this.#size > MAXIMUM_RECORDED_BYTES) {
       this.#chunks = undefined;
     }
-    // The buffer belongs to the HTTP client, which may use it again.
+    // The HTTP client owns the buffer and may reuse it.
     this.#chunks?.push(Buffer.from(chunk));
   }
 
--- a/packages/gateway/src/bodies.ts
+++ b/packages/gateway/src/bodies.ts
@@ -1,6 +1,7 @@
 /**
- * The body of a caller's request: read up to a bound before a target is taken, so that a slow caller
- * holds no slot and a short body can be sent again, and streamed beyond it.
+ * The body of a caller's request. It is buffered up to a limit before a slot on a target is
+ * acquired, so that a slow caller does not occupy a slot and a retry can send a short body again.
+ * The rest of a longer body is streamed.
  */
 
 import type * as http from "node:http";
@@ -10,15 +11,15 @@
 import type * as running from "./running_requests.ts";
 import type * as types from "./types.ts";
 
-/** A body up to this size is held in memory. */
+/** Bytes of a body that are buffered; the rest is streamed. */
 export const BUFFERED_BODY_BYTES = 64 * 1_024;
 
-/** Memory for buffered bodies of all requests on a VM together. */
+/** Limit for the buffered bodies of all requests of a VM. */
 const TOTAL_BUFFERED_BYTES = 32 * 1_024 * 1_024;
 
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
-/** Thrown into a stream that must not end as if it were complete. */
+/** The error of a body that can't be completed; its stream must not end normally. */
 export class BodyError extends Error {
   override readonly name = "BodyError";
   readonly refusal: refusals.RefusalRow;
@@ -29,11 +30,11 @@
   }
 }
 
-/** Memory that the buffered bodies of a VM take together. */
+/** Memory used by the buffered bodies of all requests of a VM. */
 export class BodyMemory {
   #usedBytes = 0;
 
-  tryTake(bytes: number): boolean {
+  tryReserve(bytes: number): boolean {
     if (this.#usedBytes + bytes > TOTAL_BUFFERED_BYTES) {
       return false;
     }
@@ -41,7 +42,7 @@
     return true;
   }
 
-  giveBack(bytes: number): void {
+  free(bytes: number): void {
     this.#usedBytes -= bytes;
   }
 }
@@ -76,7 +77,7 @@
     return this.#complete;
   }
 
-  /** Whether the body can be sent from its start. */
+  /** Whether the body can be sent again from its start. */
   get isReplayable(): boolean {
     return !this.#streamed;
   }
@@ -86,7 +87,7 @@
     return this.#chunks;
   }
 
-  /** Reads until the body ends or the bound is reached; nothing has run when it refuses. */
+  /** Reads until the body ends or the buffer limit is reached. A refused request has not run. */
   buffer(
     runningRequest: running.RunningRequest,
   ): Promise<neverthrow.Result<void, refusals.Refusal>> {
@@ -110,7 +111,7 @@
       };
       const onData = (chunk: Buffer) => {
         idleTimer.refresh();
-        const refusal = this.#keep(chunk);
+        const refusal = this.#append(chunk);
         if (refusal !== undefined || this.#bufferedBytes >= BUFFERED_BODY_BYTES) {
           finish(refusal);
         }
@@ -119,7 +120,7 @@
         this.#complete = true;
         finish();
       };
-      // The reason why the request was ended decides its answer; the row here is not used.
+      // The end reason decides which refusal is sent; this one is ignored.
       runningRequest.onEnd(() => finish(refusals.Refusals.requestTooSlow));
       request.on("data", onData);
       request.on("end", onEnd);
@@ -138,19 +139,19 @@
     return this.#chunks.length === 0 ? null : Buffer.concat(this.#chunks);
   }
 
-  /** Gives the memory back; what the caller still sends is read and dropped. */
+  /** Frees the buffered part. */
   release(): void {
-    this.#memory.giveBack(this.#bufferedBytes);
+    this.#memory.free(this.#bufferedBytes);
     this.#bufferedBytes = 0;
     this.#chunks = [];
   }
 
-  #keep(chunk: Buffer): refusals.RefusalRow | undefined {
+  #append(chunk: Buffer): refusals.RefusalRow | undefined {
     this.#receivedBytes += chunk.length;
     if (this.#receivedBytes > this.#limitBytes) {
       return refusals.Refusals.bodyTooLarge;
     }
-    if (!this.#memory.tryTake(chunk.length)) {
+    if (!this.#memory.tryReserve(chunk.length)) {
       return refusals.Refusals.bodyMemoryFull;
     }
     this.#bufferedBytes += chunk.length;
@@ -162,7 +163,7 @@
     let source: BodySource | undefined;
     const stream: streams.Readable = new streams.Readable({
       read: () => {
-        // The rest of the body comes only once, so from here on there is no other attempt.
+        // The rest of the body can be read only once, so from here on the request is not retried.
         this.#streamed = true;
         source ??= this.#openSource(stream);
         source.resume();
@@ -187,7 +188,7 @@
   }
 }
 
-/** Moves the rest of a body from the caller's connection into a stream, under back-pressure. */
+/** Copies the rest of a body from the caller's request into a stream, with back-pressure. */
 class BodySource {
   readonly #request: http.IncomingMessage;
   readonly #stream: streams.Readable;
@@ -210,7 +211,7 @@
     request.once("close", this.#onClose);
   }
 
-  /** The stream wants more. Only while it does is the caller's silence held against it. */
+  /** Reads more data for the stream. The caller's idle timeout runs only while this is wanted. */
   resume(): void {
     this.#startIdleTimer();
     this.#request.resume();
--- a/packages/gateway/src/call_handler.ts
+++ b/packages/gateway/src/call_handler.ts
@@ -1,5 +1,5 @@
 /**
- * One call of a caller: each request is checked, admitted, given a target and forwarded.
+ * Handles callers' requests: validates and admits each one, then forwards it to a target.
  */
 
 import type * as http from "node:http";
@@ -19,26 +19,26 @@
 import * as running from "./running_requests.ts";
 import type * as types from "./types.ts";
 
-/** A caller that goes on to send more than this after its answer is cut off. */
-const MAXIMUM_REST_BYTES = 10 * 1_024 * 1_024;
+/** A caller that sends more of its body than this after the response is disconnected. */
+const MAXIMUM_DISCARDED_BODY_BYTES = 10 * 1_024 * 1_024;
 
-/** An unread rest of a request up to this size is read and dropped, to keep the connection. */
-const MAXIMUM_DROPPED_BYTES = 64 * 1_024;
+/** The unread rest of a body up to this size is discarded, so that the connection can be reused. */
+const MAXIMUM_KEEP_ALIVE_BODY_BYTES = 64 * 1_024;
 
-/** One request and everything that belongs to it on the way. */
-interface Call {
+/** The state of one request. */
+interface RequestContext {
   readonly request: http.IncomingMessage;
   readonly response: http.ServerResponse;
   readonly wantsContinue: boolean;
   /** Undefined until the request is accepted. */
   running: running.RunningRequest | undefined;
-  /** Time that passed only since the caller's body was not there yet. */
-  callerMilliseconds: number;
+  /** Time spent waiting for the caller's body. */
+  bodyWaitMilliseconds: number;
   targetMilliseconds: number;
 }
 
-/** What calls have in common. */
-export interface CallHandlerParts {
+/** The parts that all requests share. */
+export interface RequestHandlerParts {
   readonly forwarder: forwarding.Forwarder;
   readonly running: running.RunningRequests;
   readonly meters: meters.GatewayMeters;
@@ -46,86 +46,91 @@
   readonly logger: kernel.PartLogger;
 }
 
-/** Serves the requests of callers. */
-export class CallHandler {
+/** Handles callers' requests. */
+export class RequestHandler {
   readonly #services: kernel.Kernel;
-  readonly #parts: CallHandlerParts;
+  readonly #parts: RequestHandlerParts;
   readonly #bodyMemory = new bodies.BodyMemory();
   #closing = false;
 
-  constructor(services: kernel.Kernel, parts: CallHandlerParts) {
+  constructor(services: kernel.Kernel, parts: RequestHandlerParts) {
     this.#services = services;
     this.#parts = parts;
   }
 
-  /** From now on each answer ends its connection. */
-  announceStop(): void {
+  /** Makes each response close its connection from now on. */
+  startClosing(): void {
     this.#closing = true;
   }
 
-  /** Serves one request until its answer has ended. Never rejects. */
-  async serve(
+  /** Handles one request until its response has ended. Never rejects. */
+  async handle(
     request: http.IncomingMessage,
     response: http.ServerResponse,
     wantsContinue: boolean,
   ): Promise<void> {
     const started = kernel.getMonotonicMilliseconds();
-    const call: Call = {
+    const context: RequestContext = {
       request,
       response,
       wantsContinue,
       running: undefined,
-      callerMilliseconds: 0,
+      bodyWaitMilliseconds: 0,
       targetMilliseconds: 0,
     };
-    this.#parts.running.openAnswer(request.socket, response, () => {
+    this.#parts.running.trackAnswer(request.socket, response, () => {
       if (!response.writableFinished) {
-        call.running?.end("caller_gone");
+        context.running?.end("caller_gone");
       }
     });
-    // The caller's connection may break at any moment; its `close` event tells so too.
+    // The caller's connection may fail at any time, which the `close` event also reports.
     response.on("error", ignoreError);
-    const refusal = await this.#answer(call).catch((error: unknown) => this.#fail(call, error));
-    if (call.running?.endReason === "caller_gone") {
+    const refusal = await this.#validateAndRun(context).catch((error: unknown) =>
+      this.#handleInternalError(context, error)
+    );
+    if (context.running?.endReason === "caller_gone") {
       this.#parts.meters.cancelledRequests.inc();
     } else if (refusal !== undefined && !response.destroyed) {
       this.#parts.meters.refusals.inc({ reason: refusal.row.reason, run: refusal.run });
-      refusals.sendRefusal(response, refusal, this.#endsConnection(call, refusal));
+      refusals.sendRefusal(response, refusal, this.#endsConnection(context, refusal));
     }
     if (!request.complete) {
-      dropRest(request);
+      discardBody(request);
     }
     const elapsed = kernel.getMonotonicMilliseconds() - started;
     this.#parts.meters.total.record(elapsed);
-    this.#parts.meters.added.record(elapsed - call.targetMilliseconds - call.callerMilliseconds);
+    this.#parts.meters.added.record(
+      elapsed - context.targetMilliseconds - context.bodyWaitMilliseconds,
+    );
   }
 
-  /** A fault of this program ends one request, not the VM. */
-  #fail(call: Call, error: unknown): refusals.Refusal | undefined {
-    this.#parts.logger.error("A request failed inside the gateway.", {
+  /** An unexpected error ends only the request, not the process. */
+  #handleInternalError(context: RequestContext, error: unknown): refusals.Refusal | undefined {
+    this.#parts.logger.error("Internal error while handling a request.", {
       detail: error instanceof Error ? error.stack : String(error),
     });
-    if (!call.response.headersSent) {
+    if (!context.response.headersSent) {
       return refusals.createUnknownRefusal(refusals.Refusals.internalError);
     }
-    call.response.destroy();
+    context.response.destroy();
     return undefined;
   }
 
-  #endsConnection(call: Call, refusal: refusals.Refusal): boolean {
+  #endsConnection(context: RequestContext, refusal: refusals.Refusal): boolean {
     if (this.#closing || refusal.row === refusals.Refusals.keyWithdrawn) {
       return true;
     }
-    if (call.request.complete) {
+    if (context.request.complete) {
       return false;
     }
-    const length = call.request.headers["content-length"];
-    return call.wantsContinue || length === undefined || Number(length) > MAXIMUM_DROPPED_BYTES;
+    const length = context.request.headers["content-length"];
+    return context.wantsContinue || length === undefined ||
+      Number(length) > MAXIMUM_KEEP_ALIVE_BODY_BYTES;
   }
 
-  async #answer(call: Call): Promise<refusals.Refusal | undefined> {
+  async #validateAndRun(context: RequestContext): Promise<refusals.Refusal | undefined> {
     const snapshot = this.#services.get(configuration.CONFIGURATION).getSnapshot();
-    const checked = admission.acceptRequest(snapshot, call.request);
+    const checked = admission.acceptRequest(snapshot, context.request);
     if (checked.isErr()) {
       return checked.error;
     }
@@ -133,18 +138,18 @@
     const runningRequest = new running.RunningRequest(
       accepted.deadlineMilliseconds - kernel.getMonotonicMilliseconds(),
     );
-    call.running = runningRequest;
+    context.running = runningRequest;
     if (accepted.keyDigest !== undefined) {
-      this.#parts.running.add(runningRequest, accepted.keyDigest, call.request.socket);
+      this.#parts.running.add(runningRequest, accepted.keyDigest, context.request.socket);
     }
     const body = new bodies.RequestBody(
-      call.request,
+      context.request,
       accepted,
       this.#bodyMemory,
       this.#parts.settings.bodyIdleTimeoutMilliseconds,
     );
     try {
-      return await this.#run(call, accepted, runningRequest, body);
+      return await this.#admitAndForward(context, accepted, runningRequest, body);
     } finally {
       body.release();
       runningRequest.finish();
@@ -154,17 +159,18 @@
     }
   }
 
-  async #run(
-    call: Call,
+  async #admitAndForward(
+    context: RequestContext,
     accepted: types.AcceptedRequest,
     runningRequest: running.RunningRequest,
     body: bodies.RequestBody,
   ): Promise<refusals.Refusal | undefined> {
-    const failed = body.isComplete ? undefined : await bufferBody(call, body, runningRequest);
+    const failed = body.isComplete ? undefined : await bufferBody(context, body, runningRequest);
     if (failed !== undefined) {
       return runningRequest.endReason === undefined ? failed : createEndRefusal(runningRequest);
     }
-    // A token is taken after the body is there, so that slow bodies can't run all at once later.
+    // Tokens are taken only after the body is buffered. Otherwise, admitted requests could collect
+    // behind slow bodies and then run in a burst.
     const decision = this.#checkRate(accepted);
     const overRate = decision instanceof Promise ? await decision : decision;
     if (overRate !== undefined) {
@@ -173,20 +179,20 @@
     if (runningRequest.endReason !== undefined) {
       return createEndRefusal(runningRequest);
     }
-    const answer = new answers.CallerAnswer(call.response, () => this.#closing);
-    const idempotencyKey = idempotency.findIdempotencyKey(call.request, accepted);
+    const answer = new answers.CallerAnswer(context.response, () => this.#closing);
+    const idempotencyKey = idempotency.findIdempotencyKey(context.request, accepted);
     const store = this.#services.find(claims.CLAIM_STORE);
     const ready: runs.ReadyRequest = {
       accepted,
-      request: call.request,
+      request: context.request,
       body,
       running: runningRequest,
       answer,
       trustForwardedHeaders: this.#parts.settings.trustForwardedHeaders,
     };
     return idempotencyKey === undefined || store === undefined
-      ? (await this.#forward(call, ready)).refusal
-      : this.#forwardClaimed(call, ready, store, idempotencyKey);
+      ? (await this.#forward(context, ready)).refusal
+      : this.#forwardClaimed(context, ready, store, idempotencyKey);
   }
 
   #checkRate(
@@ -197,23 +203,23 @@
     }
     const limiter = this.#services.get(limits.RATE_LIMITER);
     const decision = limiter.admit(accepted.workspace, accepted.deadlineMilliseconds);
-    // Most decisions are there at once; a promise for each would cost more than the decision.
+    // Most decisions are synchronous, and a promise would cost more than the decision itself.
     return decision instanceof Promise
       ? decision.then(createRateRefusal)
       : createRateRefusal(decision);
   }
 
   async #forward(
-    call: Call,
+    context: RequestContext,
     ready: runs.ReadyRequest,
   ): Promise<runs.ForwardResult> {
     const result = await this.#parts.forwarder.forward(ready);
-    call.targetMilliseconds = result.targetMilliseconds;
+    context.targetMilliseconds = result.targetMilliseconds;
     return result;
   }
 
   async #forwardClaimed(
-    call: Call,
+    context: RequestContext,
     ready: runs.ReadyRequest,
     store: claims.ClaimStore,
     idempotencyKey: string,
@@ -229,7 +235,7 @@
       return claimed.error;
     }
     if (claimed.value.kind === "replay") {
-      // The key may have been withdrawn while the fleet was asked.
+      // The key may have been withdrawn while the claim was being decided.
       if (ready.running.endReason !== undefined) {
         return createEndRefusal(ready.running);
       }
@@ -243,7 +249,7 @@
     }
     ready.answer.record();
     try {
-      const result = await this.#forward(call, ready);
+      const result = await this.#forward(context, ready);
       idempotency.settleClaim(claim, result, ready.answer);
       return result.refusal;
     } catch (error) {
@@ -264,20 +270,20 @@
 }
 
 async function bufferBody(
-  call: Call,
+  context: RequestContext,
   body: bodies.RequestBody,
   runningRequest: running.RunningRequest,
 ): Promise<refusals.Refusal | undefined> {
-  if (call.wantsContinue) {
-    call.response.writeContinue();
+  if (context.wantsContinue) {
+    context.response.writeContinue();
   }
   const started = kernel.getMonotonicMilliseconds();
   const buffered = await body.buffer(runningRequest);
-  call.callerMilliseconds = kernel.getMonotonicMilliseconds() - started;
+  context.bodyWaitMilliseconds = kernel.getMonotonicMilliseconds() - started;
   return buffered.isErr() ? buffered.error : undefined;
 }
 
-/** What the caller of a request is told that was ended before it was sent anywhere. */
+/** The refusal of a request that was ended before it was sent to a target. */
 function createEndRefusal(runningRequest: running.RunningRequest): refusals.Refusal {
   return refusals.createNotRunRefusal(
     runningRequest.endReason === "key_withdrawn"
@@ -286,12 +292,12 @@
   );
 }
 
-/** What the caller still sends must not keep its connection from the next request. */
-function dropRest(request: http.IncomingMessage): void {
+/** Discards the rest of the body, so that the connection can carry the caller's next request. */
+function discardBody(request: http.IncomingMessage): void {
   let dropped = 0;
   request.on("data", (chunk: Buffer) => {
     dropped += chunk.length;
-    if (dropped > MAXIMUM_REST_BYTES) {
+    if (dropped > MAXIMUM_DISCARDED_BODY_BYTES) {
       request.socket.destroy();
     }
   });
@@ -299,5 +305,5 @@
 }
 
 function ignoreError(): void {
-  // See where the listener is added.
+  // The `close` event reports the failure.
 }
--- a/packages/gateway/src/call_results.ts
+++ b/packages/gateway/src/call_results.ts
@@ -1,5 +1,5 @@
 /**
- * What an attempt says of its target, and what it leaves to tell the caller.
+ * Maps the end of an attempt to a call result for target health and to a refusal for the caller.
  */
 
 import type * as limits from "@hemlockwalk/limits";
@@ -9,10 +9,10 @@
 import * as refusals from "./refusals.ts";
 import type * as runs from "./request_run.ts";
 
-/** A target is not blamed for missing a deadline that the caller set shorter than this. */
-const FAIR_TARGET_MILLISECONDS = 500;
+/** A missed deadline counts as a timeout of the target only if the target had this much time. */
+const MINIMUM_TARGET_TIMEOUT_MILLISECONDS = 500;
 
-/** What a call says of its target. */
+/** Maps an attempt to the result that is reported for its target. */
 export function getCallResult(
   ready: runs.ReadyRequest,
   result: exchanges.AttemptResult,
@@ -24,14 +24,14 @@
     case "not_run_signal":
       return "shed";
     case "reset":
-      // An old connection that is found closed says nothing about the target behind it.
+      // A reused connection may have been closed for idleness, which is no failure of the target.
       return reused ? "cancelled" : "reset";
     case "attempt_timeout":
       return "timeout";
     case "unframed":
       return "server_error";
     case "ended":
-      return isTargetToBlame(ready, result) ? "timeout" : "cancelled";
+      return isTargetTimeout(ready, result) ? "timeout" : "cancelled";
     case "body_failed":
     case "invalid":
       return "cancelled";
@@ -40,12 +40,12 @@
   }
 }
 
-function isTargetToBlame(ready: runs.ReadyRequest, result: exchanges.AttemptResult): boolean {
+function isTargetTimeout(ready: runs.ReadyRequest, result: exchanges.AttemptResult): boolean {
   return ready.running.endReason === "deadline" && result.status === undefined &&
-    result.targetMilliseconds >= FAIR_TARGET_MILLISECONDS;
+    result.targetMilliseconds >= MINIMUM_TARGET_TIMEOUT_MILLISECONDS;
 }
 
-/** What the caller is told when its request found no slot. */
+/** The refusal of a request that got no slot. */
 export function createQueueRefusal(
   refusal: limits.QueueRefusal,
   run: runs.RequestRun,
@@ -59,7 +59,7 @@
   return run.createRefusal(row, refusal.retryAfterMilliseconds);
 }
 
-/** What the caller is told when its request was ended from outside. */
+/** The refusal of a request that was ended by a withdrawn key or its deadline. */
 export function createEndRefusal(run: runs.RequestRun): refusals.Refusal {
   const row = run.ready.running.endReason === "key_withdrawn"
     ? refusals.Refusals.keyWithdrawn
@@ -67,7 +67,7 @@
   return run.createRefusal(row);
 }
 
-/** What the caller is told when its body failed. */
+/** The refusal of a request whose body failed. */
 export function createBodyRefusal(
   run: runs.RequestRun,
   error: Error | undefined,
--- a/packages/gateway/src/connections.ts
+++ b/packages/gateway/src/connections.ts
@@ -1,10 +1,10 @@
 /**
  * The connections that this VM holds open to its targets.
  *
- * An open connection may have gone silent because something between the two ends has lost track of
- * it. Nothing shows that before an answer stays away, so the age of the last sign of life decides:
- * an idempotent request may use any connection that is not older than the idle bound, and a request
- * that must not run twice only one that has just been proven, or a fresh one.
+ * A connection may be half-open: a middlebox or the target has dropped its state, and no error
+ * shows this before a response fails to arrive. The choice therefore depends on the time since the
+ * last complete response. An idempotent request may use any connection within the idle timeout. A
+ * request that must not run twice uses only a recently active connection or a new one.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -13,35 +13,35 @@
 import type * as targets from "@hemlockwalk/targets";
 import * as undici from "undici";
 
-/** Longest time that a connection stays open without a request. */
-const IDLE_BOUND_MILLISECONDS = 4_000;
+/** Time after which a connection without requests is closed. */
+const IDLE_TIMEOUT_MILLISECONDS = 4_000;
 
-/** A connection whose last answer ended this recently counts as alive. */
-const PROVEN_MILLISECONDS = 500;
+/** A connection whose last response ended at most this long ago is assumed to be working. */
+const RECENT_ACTIVITY_MILLISECONDS = 500;
 
 const CONNECT_TIMEOUT_MILLISECONDS = 1_000;
 
-/** Largest head of a target's answer. */
-const MAXIMUM_ANSWER_HEAD_BYTES = 64 * 1_024;
+/** Largest status line and headers of a target's response. */
+const MAXIMUM_ANSWER_HEADER_BYTES = 64 * 1_024;
 
-/** Counts what happens to connections, by event. */
+/** Counts connection events. */
 export type ConnectionCounter = (event: ConnectionEvent) => void;
 
-/** Events that are counted. */
+/** A counted event of the connections to targets. */
 export type ConnectionEvent =
   | "opened"
   | "reused"
-  /** Not used, since its silence can't be told from death and the request must not run twice. */
+  /** An idle connection was not used: it may be half-open, and the request must not run twice. */
   | "passed_over"
-  /** A request waits since the VM may open no further connection to the target. */
+  /** A request waits because the VM has reached its connection limit for the target. */
   | "limit_reached";
 
 /** One connection to one target, used by one request at a time. */
 export class TargetConnection {
   readonly client: undici.Client;
-  /** When the last answer on the connection ended; minus infinity before the first. */
-  provenMilliseconds = Number.NEGATIVE_INFINITY;
-  /** Whether the connection was open before the request that uses it now. */
+  /** When the last response on the connection ended; minus infinity before the first. */
+  lastActiveMilliseconds = Number.NEGATIVE_INFINITY;
+  /** Whether the connection has carried an earlier request. */
   reused = false;
   #connected = true;
 
@@ -49,31 +49,31 @@
     this.client = new undici.Client(origin, {
       pipelining: 1,
       connectTimeout: CONNECT_TIMEOUT_MILLISECONDS,
-      keepAliveTimeout: IDLE_BOUND_MILLISECONDS,
-      keepAliveMaxTimeout: IDLE_BOUND_MILLISECONDS,
-      maxHeaderSize: MAXIMUM_ANSWER_HEAD_BYTES,
-      // The request's own deadline bounds its answer.
+      keepAliveTimeout: IDLE_TIMEOUT_MILLISECONDS,
+      keepAliveMaxTimeout: IDLE_TIMEOUT_MILLISECONDS,
+      maxHeaderSize: MAXIMUM_ANSWER_HEADER_BYTES,
+      // The request's own deadline limits the wait for its response.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
-    // The client would open another connection by itself; which one is fresh must stay known.
+    // The client reconnects by itself, which would make a new connection look like a used one.
     this.client.on("disconnect", () => {
       this.#connected = false;
     });
   }
 
-  /** Whether the connection has not ended; true also before it is open. */
+  /** False once the connection has closed; true also before it is open. */
   get connected(): boolean {
     return this.#connected;
   }
 
-  /** Whether the last sign of life is recent enough for a request that must not run twice. */
-  isProven(now: number): boolean {
-    return now - this.provenMilliseconds <= PROVEN_MILLISECONDS;
+  /** Whether the last response is recent enough to send a request that must not run twice. */
+  isRecentlyActive(now: number): boolean {
+    return now - this.lastActiveMilliseconds <= RECENT_ACTIVITY_MILLISECONDS;
   }
 
   destroy(): void {
-    // A request that still runs on it fails through its own handler.
+    // A request that is still running on the connection fails through its own handler.
     void this.client.destroy();
   }
 }
@@ -88,7 +88,7 @@
   readonly address: string;
   readonly #getLimit: () => number;
   readonly #count: ConnectionCounter;
-  /** The most recently used last. */
+  /** Idle connections, the most recently used last. */
   readonly #idle: TargetConnection[] = [];
   readonly #waiters: Waiter[] = [];
   #open = 0;
@@ -106,37 +106,37 @@
   }
 
   /**
-   * Takes a connection for one request, at once unless the limit is reached.
+   * Acquires a connection for one request, without waiting unless the limit is reached.
    *
    * @param idempotent Whether the request may run twice.
-   * @param request Its signal ends the wait, with no connection.
+   * @param request Aborting its signal ends the wait without a connection.
    */
   acquire(
     idempotent: boolean,
     request: { readonly signal: AbortSignal },
   ): TargetConnection | Promise<TargetConnection | undefined> {
-    return this.#tryTake(idempotent) ?? this.#wait(idempotent, request.signal);
+    return this.#tryAcquire(idempotent) ?? this.#wait(idempotent, request.signal);
   }
 
   /**
-   * Gives a connection back after a request.
+   * Releases a connection after a request.
    *
-   * @param usable Whether the last answer ended completely, so that another request may follow.
+   * @param usable Whether the response was complete, so that the connection can be reused.
    */
   release(connection: TargetConnection, usable: boolean): void {
     if (usable) {
-      connection.provenMilliseconds = kernel.getMonotonicMilliseconds();
+      connection.lastActiveMilliseconds = kernel.getMonotonicMilliseconds();
       connection.reused = true;
     }
-    this.#putBack(connection, usable);
+    this.#returnOrDrop(connection, usable);
   }
 
-  /** Gives a connection back on which nothing was sent. That is no sign of life. */
+  /** Releases a connection on which nothing was sent, which does not count as activity. */
   releaseUnused(connection: TargetConnection): void {
-    this.#putBack(connection, connection.reused);
+    this.#returnOrDrop(connection, connection.reused);
   }
 
-  /** Closes idle connections and, as they are given back, the others. */
+  /** Closes idle connections now and the others when they are released. */
   retire(): void {
     this.#retired = true;
     for (const connection of this.#idle.splice(0)) {
@@ -144,7 +144,7 @@
     }
   }
 
-  #tryTake(idempotent: boolean): TargetConnection | undefined {
+  #tryAcquire(idempotent: boolean): TargetConnection | undefined {
     const now = kernel.getMonotonicMilliseconds();
     const latest = this.#idle.at(-1);
     if (latest !== undefined && isUsable(latest, idempotent, now)) {
@@ -165,7 +165,7 @@
     return this.#create();
   }
 
-  #putBack(connection: TargetConnection, usable: boolean): void {
+  #returnOrDrop(connection: TargetConnection, usable: boolean): void {
     if (usable && !this.#retired && connection.connected) {
       this.#idle.push(connection);
     } else {
@@ -219,7 +219,7 @@
 
   #serveWaiter(): void {
     const waiter = this.#waiters[0];
-    const connection = waiter === undefined ? undefined : this.#tryTake(waiter.idempotent);
+    const connection = waiter === undefined ? undefined : this.#tryAcquire(waiter.idempotent);
     if (waiter !== undefined && connection !== undefined) {
       this.#waiters.shift();
       waiter.resolve(connection);
@@ -228,13 +228,13 @@
 }
 
 function isUsable(connection: TargetConnection, idempotent: boolean, now: number): boolean {
-  // The timer that closes idle connections is late after a pause of the process.
+  // After a pause of the process, the timer that closes idle connections fires late.
   return idempotent
-    ? now - connection.provenMilliseconds <= IDLE_BOUND_MILLISECONDS
-    : connection.isProven(now);
+    ? now - connection.lastActiveMilliseconds <= IDLE_TIMEOUT_MILLISECONDS
+    : connection.isRecentlyActive(now);
 }
 
-/** The connections to all targets, kept in step with the configuration. */
+/** The connections to all targets of the current configuration. */
 export class ConnectionTable {
   readonly #pool: targets.TargetPool;
   readonly #count: ConnectionCounter;
@@ -245,7 +245,7 @@
     this.#count = count;
   }
 
-  /** Connections that are open to all targets together. */
+  /** Number of open connections to all targets. */
   get size(): number {
     let size = 0;
     for (const connections of this.#targets.values()) {
@@ -263,7 +263,7 @@
     known?.retire();
     const created = new TargetConnections(
       target.address,
-      // Whoever holds a slot on the target may have a connection, also while shares change.
+      // A request that holds a slot gets a connection even if this VM's share drops to zero.
       () => Math.max(1, this.#pool.getConnectionLimit(target.id)),
       this.#count,
     );
@@ -271,8 +271,8 @@
     return created;
   }
 
-  /** Closes the connections to targets that are gone or leaving. */
-  retain(snapshot: configuration.Snapshot): void {
+  /** Closes the connections to targets that were removed, are leaving or changed their address. */
+  closeRemoved(snapshot: configuration.Snapshot): void {
     for (const [id, connections] of this.#targets) {
       const target = snapshot.findTarget(id);
       if (target === undefined || target.leaving || target.address !== connections.address) {
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt: a request on one connection to one target, and what became of it.
+ * One attempt: sends a request on one connection to one target and returns the result.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -8,10 +8,10 @@
 import type * as answers from "./answers.ts";
 import type * as running from "./running_requests.ts";
 
-/** Most of an answer that is read only to keep its connection. */
+/** A discarded response is read up to this size, so that the connection can be reused. */
 const MAXIMUM_DISCARDED_BYTES = 64 * 1_024;
 
-/** Codes by which the HTTP client tells that it will not send such a request. */
+/** Error codes with which the HTTP client rejects a request before sending it. */
 const INVALID_REQUEST_CODES: ReadonlySet<string> = new Set([
   "UND_ERR_INVALID_ARG",
   "UND_ERR_NOT_SUPPORTED",
@@ -20,63 +20,63 @@
 
 /** How one attempt ended. */
 export type AttemptEnd =
-  /** The answer of the target went to the caller, complete. */
+  /** The complete response of the target went to the caller. */
   | "answered"
-  /** The target said by its service's signal that it did not run the request. */
+  /** The target sent its service's signal for requests that it did not run. */
   | "not_run_signal"
-  /** The target answered with an error that was not passed on, since another attempt may follow. */
+  /** The target sent an error response that was discarded because the request is retried. */
   | "server_error"
-  /** The answer would end with its connection, so that a cut one could not be told. */
+  /** The response has no defined length, so that a truncated one could not be detected. */
   | "unframed"
-  /** No connection could be opened, or it was found closed before the first byte. */
+  /** No connection could be opened, or it was closed before the first byte was sent. */
   | "connect_failed"
-  /** The connection ended before an answer began. */
+  /** The connection ended before a response began. */
   | "reset"
-  /** The connection ended after an answer began. */
+  /** The connection ended after a response began. */
   | "truncated"
-  /** No answer began within the attempt's time. */
+  /** No response began within the attempt's timeout. */
   | "attempt_timeout"
-  /** The request was ended from outside; its end reason says why. */
+  /** The request was ended by a disconnect, a withdrawn key or its deadline; see its end reason. */
   | "ended"
-  /** The HTTP client found the request malformed before it sent anything. */
+  /** The HTTP client rejected the request before it sent anything. */
   | "invalid"
-  /** The caller's body stopped, was too large or was cut. */
+  /** The caller's body stalled, was too large or was truncated. */
   | "body_failed";
 
-/** What is to be done with an answer, decided by its head. */
+/** How a response is handled, decided by its status and headers. */
 export type HeadDecision = "pass" | "not_run_signal" | "server_error" | "unframed";
 
-/** What became of one attempt. */
+/** The result of one attempt. */
 export interface AttemptResult {
   readonly end: AttemptEnd;
   /** Whether bytes of the request may have left this VM. */
   readonly sent: boolean;
-  /** Whether bytes of an answer went to the caller. */
+  /** Whether the response has begun to go to the caller. */
   readonly answerBegan: boolean;
-  /** Status of the target's answer; undefined where none began. */
+  /** Status of the target's response; undefined if none began. */
   readonly status: number | undefined;
-  /** Whether another request may follow on the connection. */
+  /** Whether the connection can be reused. */
   readonly connectionUsable: boolean;
-  /** Milliseconds until the answer's head; until the failure where there was none. */
+  /** Time until the response's headers arrived, or until the failure if there were none. */
   readonly headMilliseconds: number;
-  /** Milliseconds that the target took, from the first byte sent to the last one received. */
+  /** Time from the first byte sent to the last byte received. */
   readonly targetMilliseconds: number;
-  /** What was wrong, for `body_failed` and for the log. */
+  /** The cause of a failure; decides the refusal for `body_failed`. */
   readonly error: Error | undefined;
 }
 
-/** What an attempt needs to know. */
+/** The input of one attempt. */
 export interface AttemptRequest {
   readonly options: undici.Dispatcher.DispatchOptions;
   readonly answer: answers.CallerAnswer;
   readonly running: running.RunningRequest;
-  /** Decides, by the head of the answer, whether it goes to the caller. */
-  readonly decide: (status: number, rawHeaders: readonly Buffer[]) => HeadDecision;
-  /** Time until an answer must have begun; undefined where only the request's deadline counts. */
+  /** Decides by status and headers whether the response goes to the caller. */
+  readonly decideOnHead: (status: number, rawHeaders: readonly Buffer[]) => HeadDecision;
+  /** Limit for the wait for a response; undefined if only the request's deadline applies. */
   readonly headTimeoutMilliseconds: number | undefined;
 }
 
-/** Runs one attempt and resolves when nothing more of it can come. */
+/** Runs one attempt and resolves when it has ended. */
 export function runAttempt(
   client: undici.Dispatcher,
   request: AttemptRequest,
@@ -87,7 +87,7 @@
   });
 }
 
-/** The handler through which the HTTP client tells what happens. */
+/** Receives the HTTP client's events for one attempt. */
 class Exchange implements undici.Dispatcher.DispatchHandler {
   readonly #request: AttemptRequest;
   readonly #resolve: (result: AttemptResult) => void;
@@ -105,17 +105,17 @@
   constructor(request: AttemptRequest, resolve: (result: AttemptResult) => void) {
     this.#request = request;
     this.#resolve = resolve;
-    request.running.onEnd(() => this.#stop());
+    request.running.onEnd(() => this.#cancel());
     if (request.headTimeoutMilliseconds !== undefined) {
       this.#headTimer = setTimeout(() => {
         this.#timedOut = true;
-        this.#stop();
+        this.#cancel();
       }, request.headTimeoutMilliseconds);
     }
   }
 
   onConnect(abort: (error?: Error) => void): void {
-    // The client sends a request again by itself in rare cases; whether it may is not its decision.
+    // In rare cases undici retries by itself. Retries are decided by `Forwarder` alone.
     if (this.#settled || this.#sentMilliseconds !== undefined) {
       abort();
       return;
@@ -130,14 +130,14 @@
     resume: () => void,
     statusText: string,
   ): boolean {
-    // Informational answers concern this connection only.
+    // Informational responses concern only this connection.
     if (status < 200) {
       return true;
     }
     clearTimeout(this.#headTimer);
     this.#headMilliseconds = kernel.getMonotonicMilliseconds();
     this.#status = status;
-    this.#decision = this.#request.decide(status, rawHeaders);
+    this.#decision = this.#request.decideOnHead(status, rawHeaders);
     if (this.#decision === "pass") {
       this.#request.answer.begin(status, statusText, rawHeaders, resume);
     } else if (this.#decision === "unframed") {
@@ -170,12 +170,12 @@
     this.#settle(this.#classify(error), false, error);
   }
 
-  #stop(): void {
+  #cancel(): void {
     if (this.#abort !== undefined) {
       this.#abort();
       return;
     }
-    // Still without a connection: the client learns of it as soon as there is one.
+    // There is no connection yet. `onConnect` aborts the request once there is one.
     this.#settle(this.#timedOut ? "connect_failed" : "ended", false);
   }
 
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -1,5 +1,5 @@
 /**
- * Runs an admitted request: attempt after attempt, until one is answered or none may follow.
+ * Runs an admitted request: makes attempts until one is answered or no retry is allowed.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -17,15 +17,15 @@
 import * as runs from "./request_run.ts";
 import * as retries from "./retries.ts";
 
-/** Share of the time left within which an answer must begin where another attempt could follow. */
-const ATTEMPT_SHARE = 0.5;
+/** Share of the remaining time that an attempt may wait for a response if a retry is possible. */
+const ATTEMPT_TIME_SHARE = 0.5;
 
-/** Time for an answer to begin on a connection that may have gone silent. */
-const UNPROVEN_ATTEMPT_MILLISECONDS = 2_000;
+/** How long an attempt may wait for a response on a connection that may be half-open. */
+const IDLE_CONNECTION_ATTEMPT_MILLISECONDS = 2_000;
 
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
-/** Sends requests to targets. */
+/** Forwards requests to targets. */
 export class Forwarder {
   readonly #pool: targets.TargetPool;
   readonly #queue: limits.FairQueue;
@@ -45,7 +45,7 @@
     this.#meters = gatewayMeters;
   }
 
-  /** Runs a request until it is answered or given up. Never rejects. */
+  /** Runs a request until it is answered or refused. Never rejects. */
   async forward(ready: runs.ReadyRequest): Promise<runs.ForwardResult> {
     const { accepted } = ready;
     const budget = this.#budgets.get(accepted.service.id);
@@ -60,7 +60,7 @@
         return run.finish(callResults.createQueueRefusal(lease.error, run));
       }
       const result = await this.#attempt(run, lease.value);
-      const next = this.#judge(run, result);
+      const next = this.#handleResult(run, result);
       if (next !== "retry") {
         return next;
       }
@@ -74,7 +74,7 @@
       service: run.ready.accepted.service.id,
       route: run.ready.accepted.route.id,
       idempotent: run.ready.accepted.idempotent,
-      exclude: run.tried,
+      exclude: run.triedTargets,
     };
     return this.#queue.enter(new runs.QueueEntry(run, () => this.#pool.tryAcquire(targetRequest)));
   }
@@ -84,27 +84,27 @@
     lease: targets.TargetLease,
   ): Promise<exchanges.AttemptResult | undefined> {
     const { accepted, running: runningRequest } = run.ready;
-    const pool = this.#connections.get(lease.target);
-    const taken = pool.acquire(accepted.idempotent, runningRequest);
-    const connection = taken instanceof Promise ? await taken : taken;
-    // The wait may have outlasted the key or the caller; nothing may start after that.
+    const targetConnections = this.#connections.get(lease.target);
+    const acquired = targetConnections.acquire(accepted.idempotent, runningRequest);
+    const connection = acquired instanceof Promise ? await acquired : acquired;
+    // During the wait, the request may have been ended or its deadline may have passed.
     const isLate = accepted.deadlineMilliseconds <= kernel.getMonotonicMilliseconds();
     if (connection === undefined || runningRequest.endReason !== undefined || isLate) {
       if (connection !== undefined) {
-        pool.releaseUnused(connection);
+        targetConnections.releaseUnused(connection);
       }
       lease.release(run.createOutcome("cancelled", 0));
       return undefined;
     }
     run.attempts++;
-    run.tried.add(lease.target.id);
+    run.triedTargets.add(lease.target.id);
     const result = await exchanges.runAttempt(
       connection.client,
       this.#createAttemptRequest(run, lease.target, connection),
     );
     const callResult = callResults.getCallResult(run.ready, result, connection.reused);
     lease.release(run.createOutcome(callResult, result.headMilliseconds));
-    pool.release(connection, result.connectionUsable);
+    targetConnections.release(connection, result.connectionUsable);
     run.targetMilliseconds += result.targetMilliseconds;
     return result;
   }
@@ -128,12 +128,12 @@
       options,
       answer,
       running: runningRequest,
-      decide: (status, rawHeaders) => this.#decide(run, status, rawHeaders),
+      decideOnHead: (status, rawHeaders) => this.#decideOnHead(run, status, rawHeaders),
       headTimeoutMilliseconds: getHeadTimeout(run, connection, left),
     };
   }
 
-  #decide(
+  #decideOnHead(
     run: runs.RequestRun,
     status: number,
     rawHeaders: readonly Buffer[],
@@ -152,16 +152,16 @@
     if (!accepted.idempotent || !retries.isRetriedStatus(status)) {
       return "pass";
     }
-    // The budget is taken here, since an answer that has been dropped can't be passed on later.
-    const obstacle = retries.takeRetry(run.createSituation(false), run.budget);
-    if (obstacle !== undefined) {
-      this.#meters.notRetried.inc({ reason: obstacle });
+    // The retry is reserved here because a response that is discarded can't be passed on later.
+    const noRetryReason = retries.takeRetry(run.createRetryConditions(false), run.budget);
+    if (noRetryReason !== undefined) {
+      this.#meters.notRetried.inc({ reason: noRetryReason });
       return "pass";
     }
     return "server_error";
   }
 
-  #judge(
+  #handleResult(
     run: runs.RequestRun,
     result: exchanges.AttemptResult | undefined,
   ): runs.ForwardResult | "retry" {
@@ -205,12 +205,12 @@
     provablyNotRun: boolean,
     row: refusals.RefusalRow,
   ): runs.ForwardResult | "retry" {
-    const obstacle = retries.takeRetry(run.createSituation(provablyNotRun), run.budget);
-    if (obstacle === undefined) {
+    const noRetryReason = retries.takeRetry(run.createRetryConditions(provablyNotRun), run.budget);
+    if (noRetryReason === undefined) {
       this.#meters.retries.inc({ reason });
       return "retry";
     }
-    this.#meters.notRetried.inc({ reason: obstacle });
+    this.#meters.notRetried.inc({ reason: noRetryReason });
     return run.finish(run.createRefusal(row, RETRY_AFTER_MILLISECONDS));
   }
 
@@ -222,8 +222,8 @@
     if (!result.answerBegan) {
       return run.finish(refusal);
     }
-    this.#meters.cutAnswers.inc({ reason: run.ready.running.endReason ?? result.end });
-    run.ready.answer.cut();
+    this.#meters.truncatedAnswers.inc({ reason: run.ready.running.endReason ?? result.end });
+    run.ready.answer.abort();
     return run.finish(undefined);
   }
 }
@@ -233,13 +233,13 @@
   connection: connections.TargetConnection,
   leftMilliseconds: number,
 ): number | undefined {
-  const situation = run.createSituation(false);
-  // This attempt is already counted, but its target is not yet among the failed ones.
-  if (!situation.idempotent || retries.findObstacle(situation) !== undefined) {
+  const conditions = run.createRetryConditions(false);
+  // Both the current attempt and its target already count as used.
+  if (!conditions.idempotent || retries.findNoRetryReason(conditions) !== undefined) {
     return undefined;
   }
-  const share = leftMilliseconds * ATTEMPT_SHARE;
-  const isDoubtful = connection.reused &&
-    !connection.isProven(kernel.getMonotonicMilliseconds());
-  return isDoubtful ? Math.min(share, UNPROVEN_ATTEMPT_MILLISECONDS) : share;
+  const share = leftMilliseconds * ATTEMPT_TIME_SHARE;
+  const mayBeHalfOpen = connection.reused &&
+    !connection.isRecentlyActive(kernel.getMonotonicMilliseconds());
+  return mayBeHalfOpen ? Math.min(share, IDLE_CONNECTION_ATTEMPT_MILLISECONDS) : share;
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,5 +1,5 @@
 /**
- * The caller-facing side of a VM as a service: its start, its reaction to new configurations, its stop.
+ * The gateway as a service of the VM: startup, reaction to configuration changes, and shutdown.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -14,7 +14,7 @@
 import * as meters from "./meters.ts";
 import * as running from "./running_requests.ts";
 
-/** Serves callers. */
+/** Accepts callers' requests and forwards them to targets. */
 export class Gateway implements kernel.Service {
   readonly #services: kernel.Kernel;
   readonly #settings: model.ListenerSettings;
@@ -23,11 +23,11 @@
   readonly #running = new running.RunningRequests();
   readonly #listener: listeners.Listener;
   #connections: connections.ConnectionTable | undefined;
-  #handler: handlers.CallHandler | undefined;
+  #requestHandler: handlers.RequestHandler | undefined;
 
   /**
-   * @param services Where the gateway finds the services it uses.
-   * @param settings The listener's part of the settings.
+   * @param services The kernel that provides the services which the gateway uses.
+   * @param settings The listener section of the settings.
    * @throws {tlsFiles.TlsStartError} When the TLS files cannot be used.
    */
   constructor(
@@ -42,19 +42,22 @@
     this.#meters = new meters.GatewayMeters(metrics);
     metrics.createGauge(
       "hemlockwalk_running_requests",
-      "Requests whose answer is not complete.",
+      "Requests whose response is not complete.",
       () => this.#running.count,
     );
     metrics.createGauge(
       "hemlockwalk_open_target_connections",
-      "Connections that this VM holds open to targets.",
+      "Open connections from this VM to targets.",
       () => this.#connections?.size ?? 0,
     );
     this.#listener = new listeners.Listener(
       settings,
       (request, response, wantsContinue) => {
-        const handler = kernel.getDefined(this.#handler, "The gateway serves after its start.");
-        void handler.serve(request, response, wantsContinue);
+        const handler = kernel.getDefined(
+          this.#requestHandler,
+          "The handler exists once the listener is open.",
+        );
+        void handler.handle(request, response, wantsContinue);
       },
       this.#running,
       this.#meters,
@@ -76,7 +79,7 @@
       (event) => this.#meters.countConnection(event),
     );
     this.#connections = table;
-    this.#handler = new handlers.CallHandler(this.#services, {
+    this.#requestHandler = new handlers.RequestHandler(this.#services, {
       forwarder: new forwarding.Forwarder(pool, queue, table, this.#meters),
       running: this.#running,
       meters: this.#meters,
@@ -85,17 +88,17 @@
     });
     this.#services.get(configuration.CONFIGURATION).onChange((change) => {
       this.#withdrawKeys(change.withdrawnKeys);
-      table.retain(change.current);
+      table.closeRemoved(change.current);
     });
     await this.#listener.start();
   }
 
   /**
-   * Serves on while the balancer still sends requests here, with answers that end their connections,
-   * and then until the last answer is complete.
+   * Keeps serving while the balancer still sends requests to this VM, closing each connection after
+   * its response, then closes the listener and waits until the last response is complete.
    */
   async drain(): Promise<void> {
-    this.#handler?.announceStop();
+    this.#requestHandler?.startClosing();
     await kernel.sleep(this.#settings.drainLagMilliseconds);
     await this.#listener.close();
   }
@@ -108,14 +111,14 @@
   #withdrawKeys(digests: readonly model.KeyDigest[]): void {
     let ended = 0;
     for (const digest of digests) {
-      ended += this.#running.withdraw(digest);
+      ended += this.#running.withdrawKey(digest);
     }
     if (ended > 0) {
       this.#meters.withdrawnRequests.inc(ended);
-      this.#logger.info("Requests of withdrawn keys were ended.", { ended });
+      this.#logger.info("Ended the running requests of withdrawn keys.", { ended });
     }
   }
 }
 
-/** The name under which the gateway is found. */
+/** The name under which the gateway is registered in the kernel. */
 export const GATEWAY = kernel.createServiceName<Gateway>("gateway");
--- a/packages/gateway/src/headers.ts
+++ b/packages/gateway/src/headers.ts
@@ -1,5 +1,5 @@
 /**
- * Which headers go on to a target, and which come back to the caller.
+ * Selects the headers that are forwarded to a target and those that are returned to the caller.
  */
 
 import type * as http from "node:http";
@@ -7,7 +7,7 @@
 import * as keys from "./keys.ts";
 import type * as types from "./types.ts";
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1). */
 const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
@@ -19,11 +19,11 @@
   "upgrade",
 ]);
 
-/** Headers that are decided anew for each attempt. */
-const REPLACED_HEADERS = new Set(["content-length", "expect"]);
+/** Headers that are not copied: attempts frame the body anew, and the gateway handles `Expect`. */
+const NOT_COPIED_HEADERS = new Set(["content-length", "expect"]);
 
-/** Headers in which proxies tell from where a request came. */
-const ORIGIN_HEADERS = new Set([
+/** Headers in which proxies record the client, host and protocol of a request. */
+const FORWARDED_HEADERS = new Set([
   "forwarded",
   "x-forwarded-for",
   "x-forwarded-host",
@@ -31,56 +31,58 @@
   "x-real-ip",
 ]);
 
-/** Header that tells a target for which workspace a request runs. */
+/** Header with the workspace of a request, for the target. */
 const WORKSPACE_HEADER = "hemlockwalk-workspace";
 
 /**
- * Header for the milliseconds that are left for a request: from the caller, who may shorten the
- * route's time, and to the target.
+ * Header with the milliseconds left for a request. Callers may send it to shorten the route's
+ * timeout, and every request to a target carries it.
  */
-export const DEADLINE_HEADER = "hemlockwalk-timeout-milliseconds";
+export const TIMEOUT_HEADER = "hemlockwalk-timeout-milliseconds";
 
 const FORWARDED_FOR_HEADER = "x-forwarded-for";
 
-/** What of a request's headers goes to every attempt, as names and values in turn. */
+/** The headers that every attempt forwards, as alternating names and values. */
 export function createForwardedHeaders(
   request: http.IncomingMessage,
   accepted: types.AcceptedRequest,
   trustForwardedHeaders: boolean,
 ): string[] {
   const placement = accepted.snapshot.fleet.keyPlacement;
-  const perConnection = listConnectionHeaders(request.headers.connection);
+  const connectionHeaders = listConnectionHeaders(request.headers.connection);
   const forwarded: string[] = [];
-  const origins: string[] = [];
+  const clientAddresses: string[] = [];
   const { names } = accepted.head;
   for (let index = 0; index < names.length; index++) {
     const name = names[index] ?? "";
     if (
-      HOP_BY_HOP_HEADERS.has(name) || REPLACED_HEADERS.has(name) ||
-      isPerConnection(perConnection, name) || keys.isRemovedHeader(name, placement)
+      HOP_BY_HOP_HEADERS.has(name) || NOT_COPIED_HEADERS.has(name) ||
+      isConnectionHeader(connectionHeaders, name) || keys.isRemovedHeader(name, placement)
     ) {
       continue;
     }
     const value = request.rawHeaders[index * 2 + 1] ?? "";
-    if (ORIGIN_HEADERS.has(name) && (!trustForwardedHeaders || name === FORWARDED_FOR_HEADER)) {
-      origins.push(...(name === FORWARDED_FOR_HEADER && trustForwardedHeaders ? [value] : []));
+    if (FORWARDED_HEADERS.has(name) && (!trustForwardedHeaders || name === FORWARDED_FOR_HEADER)) {
+      clientAddresses.push(
+        ...(name === FORWARDED_FOR_HEADER && trustForwardedHeaders ? [value] : []),
+      );
       continue;
     }
-    const kept = cleanValue(name, value, accepted);
+    const kept = removeKey(name, value, accepted);
     if (kept !== undefined) {
       forwarded.push(request.rawHeaders[index * 2] ?? "", kept);
     }
   }
-  origins.push(request.socket.remoteAddress ?? "unknown");
-  forwarded.push(FORWARDED_FOR_HEADER, origins.join(", "));
+  clientAddresses.push(request.socket.remoteAddress ?? "unknown");
+  forwarded.push(FORWARDED_FOR_HEADER, clientAddresses.join(", "));
   if (accepted.workspace !== undefined) {
     forwarded.push(WORKSPACE_HEADER, accepted.workspace.id);
   }
   return forwarded;
 }
 
-/** The value without the caller's key; undefined when the whole header is left out. */
-function cleanValue(
+/** The value without the caller's key; undefined if the whole header must be omitted. */
+function removeKey(
   name: string,
   value: string,
   accepted: types.AcceptedRequest,
@@ -95,17 +97,17 @@
   if (kept === undefined || accepted.key === undefined) {
     return kept;
   }
-  // A key that travels where none belongs must not reach a target either.
+  // A key must not reach a target through any other header either.
   return keys.containsKey(kept, accepted.key) ? undefined : kept;
 }
 
-/** The milliseconds that the caller allows; undefined when it says nothing usable. */
+/** The timeout that the caller sent; undefined if it is missing or invalid. */
 export function getCallerTimeoutMilliseconds(request: http.IncomingMessage): number | undefined {
-  const value = request.headers[DEADLINE_HEADER];
+  const value = request.headers[TIMEOUT_HEADER];
   return typeof value === "string" && /^\d{1,9}$/.test(value) ? Number(value) : undefined;
 }
 
-/** Headers of a target's answer that go to the caller, as names and values in turn. */
+/** The headers of a target's response that go to the caller, as alternating names and values. */
 export function createAnswerHeaders(rawHeaders: readonly Buffer[]): string[] {
   const names: string[] = [];
   let connection: string | undefined;
@@ -117,13 +119,13 @@
       connection = connection === undefined ? value : `${connection},${value}`;
     }
   }
-  const perConnection = listConnectionHeaders(connection);
+  const connectionHeaders = listConnectionHeaders(connection);
   const kept: string[] = [];
   for (let index = 0; index < names.length; index++) {
     const name = names[index] ?? "";
     if (
       (name !== "trailer" && HOP_BY_HOP_HEADERS.has(name)) ||
-      isPerConnection(perConnection, name) || name.startsWith(keys.OWN_HEADER_PREFIX)
+      isConnectionHeader(connectionHeaders, name) || name.startsWith(keys.RESERVED_HEADER_PREFIX)
     ) {
       continue;
     }
@@ -132,12 +134,12 @@
   return kept;
 }
 
-/** Trailers of a target's answer that go to the caller. */
+/** The trailers of a target's response that go to the caller. */
 export function createAnswerTrailers(rawTrailers: readonly (string | Buffer)[]): string[][] {
   const kept: string[][] = [];
   for (let index = 0; index < rawTrailers.length; index += 2) {
     const name = String(rawTrailers[index]).toLowerCase();
-    if (!HOP_BY_HOP_HEADERS.has(name) && !name.startsWith(keys.OWN_HEADER_PREFIX)) {
+    if (!HOP_BY_HOP_HEADERS.has(name) && !name.startsWith(keys.RESERVED_HEADER_PREFIX)) {
       kept.push([name, String(rawTrailers[index + 1])]);
     }
   }
@@ -145,8 +147,8 @@
 }
 
 /**
- * Whether an answer says where it ends. One that only ends with its connection can't be told from one
- * that was cut, since a process that dies closes its connections as well.
+ * Whether a response has a defined length. A response that ends with the close of its connection
+ * can't be distinguished from a truncated one: a crashing process closes its connections as well.
  */
 export function isAnswerFramed(
   method: string,
@@ -158,14 +160,14 @@
     findAnswerHeader(rawHeaders, "transfer-encoding") !== undefined;
 }
 
-/** Finds a header's value in an answer's raw headers. */
+/** Finds a header's value in a response's raw headers. */
 export function findAnswerHeader(
   rawHeaders: readonly Buffer[],
   wanted: string,
 ): string | undefined {
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = rawHeaders[index];
-    // Most names already differ in length, which spares the conversion.
+    // Comparing lengths first avoids converting most of the names.
     if (name?.length === wanted.length && name.toString("latin1").toLowerCase() === wanted) {
       return rawHeaders[index + 1]?.toString("latin1");
     }
@@ -173,18 +175,18 @@
   return undefined;
 }
 
-/** The dispatcher's own type of an HTTP method. */
+/** The type of an HTTP method in undici. */
 export type Method = undici.Dispatcher.HttpMethod;
 
 function listConnectionHeaders(connection: string | undefined): ReadonlySet<string> | undefined {
-  // The usual values name no header; no set is built for them.
+  // The usual values list no headers, so no set is built for them.
   if (connection === undefined || connection === "keep-alive" || connection === "close") {
     return undefined;
   }
   return new Set(connection.split(",").map((name) => keys.normalizeName(name.trim())));
 }
 
-function isPerConnection(listed: ReadonlySet<string> | undefined, name: string): boolean {
-  // The host belongs to the request's identity, whatever the caller lists.
+function isConnectionHeader(listed: ReadonlySet<string> | undefined, name: string): boolean {
+  // `Host` identifies the requested resource and is kept even if `Connection` lists it.
   return listed !== undefined && name !== "host" && listed.has(name);
 }
--- a/packages/gateway/src/idempotency.ts
+++ b/packages/gateway/src/idempotency.ts
@@ -1,5 +1,5 @@
 /**
- * Requests with an `Idempotency-Key`: a caller's own repeat never runs a second time.
+ * Requests with an `Idempotency-Key`: a request that the caller repeats runs only once.
  */
 
 import * as crypto from "node:crypto";
@@ -18,10 +18,10 @@
 
 const IDEMPOTENCY_KEY = /^[\x21-\x7e]{1,255}$/;
 
-/** When a caller may ask again about a request that still runs. */
-const RUNNING_RETRY_MILLISECONDS = 1_000;
+/** `Retry-After` for the repeat of a request that is still running. */
+const RUNNING_RETRY_AFTER_MILLISECONDS = 1_000;
 
-/** What may be done with a request: run it, or answer it from what is stored. */
+/** How a claimed request proceeds: it runs, or the stored response is sent. */
 export type ClaimOutcome =
   | { readonly kind: "run"; readonly claim: claims.Claim }
   | { readonly kind: "replay"; readonly answer: claims.StoredAnswer };
@@ -29,8 +29,8 @@
 type ClaimResult = neverthrow.Result<ClaimOutcome, refusals.Refusal>;
 
 /**
- * The `Idempotency-Key` under which a request is to be claimed; undefined for requests without one,
- * and for those whose repetition does no harm.
+ * The `Idempotency-Key` under which to claim a request; undefined if the request has none, is
+ * idempotent by its method, or came on an open route.
  */
 export function findIdempotencyKey(
   request: http.IncomingMessage,
@@ -43,7 +43,7 @@
   return String(value);
 }
 
-/** Asks the fleet whether a request may run. Its body must be buffered, as far as it fits. */
+/** Claims a request in the fleet's claim store. The buffering of its body must have ended. */
 export async function claimRequest(
   store: claims.ClaimStore,
   idempotencyKey: string,
@@ -80,7 +80,7 @@
       return neverthrow.ok({ kind: "replay", answer: decision.answer });
     case "running":
       return neverthrow.err(
-        refusals.createUnknownRefusal(rows.idempotencyRunning, RUNNING_RETRY_MILLISECONDS),
+        refusals.createUnknownRefusal(rows.idempotencyRunning, RUNNING_RETRY_AFTER_MILLISECONDS),
       );
     case "unknown":
       return neverthrow.err(refusals.createUnknownRefusal(rows.idempotencyUnknown));
@@ -98,7 +98,7 @@
   }
 }
 
-/** Tells the fleet what became of a claimed request. */
+/** Records the result of a claimed request in the claim store. */
 export function settleClaim(
   claim: claims.Claim,
   result: runs.ForwardResult,
@@ -113,11 +113,11 @@
   }
 }
 
-/** Digest of what must be equal in a repeat: host, method, path, query and body. */
+/** Digest of the parts that a repeat must share: host, method, path, query and body. */
 function createFingerprint(accepted: types.AcceptedRequest, body: bodies.RequestBody): string {
   const hash = crypto.createHash("sha256");
   for (const part of [accepted.head.host, accepted.head.method, accepted.target]) {
-    // The length keeps two different splits of one text apart.
+    // The length prefix makes the concatenation unambiguous.
     hash.update(`${part.length}:${part}`);
   }
   for (const chunk of body.chunks) {
--- a/packages/gateway/src/keys.ts
+++ b/packages/gateway/src/keys.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the caller's key in every place where it may travel, and takes it out of what is forwarded.
+ * Extracts the caller's key from headers, query and cookies, and removes it from what is forwarded.
  */
 
 import type * as http from "node:http";
@@ -9,25 +9,26 @@
 const BEARER = /^bearer +(\S+) *$/i;
 const BASIC = /^basic +(\S+) *$/i;
 
-/** Headers that may carry a key and never reach a target, whatever their scheme. */
+/** Headers that may carry a key. They are never forwarded, whatever their scheme. */
 const CREDENTIAL_HEADERS = new Set(["authorization", "proxy-authorization"]);
 
-/** Prefix of headers that only hemlockwalk itself sets. */
-export const OWN_HEADER_PREFIX = "hemlockwalk-";
+/** Prefix of headers that are reserved for hemlockwalk. */
+export const RESERVED_HEADER_PREFIX = "hemlockwalk-";
 
-/** The caller's keys and the request's path and query without them. */
-export interface KeyFinding {
-  /** The different keys found. A request with more than one is refused. */
+/** The keys in a request, and its path and query without them. */
+export interface ExtractedKeys {
+  /** The distinct keys. A request with more than one is refused. */
   readonly keys: ReadonlySet<string>;
+  /** Path and query without the keys. */
   readonly target: string;
 }
 
-/** Collects the keys of the key header, the credentials, the query and the cookies. */
-export function findKeys(
+/** Extracts keys from the key header, the credentials, the query and the cookies. */
+export function extractKeys(
   request: http.IncomingMessage,
   head: types.RequestHead,
   placement: model.KeyPlacement,
-): KeyFinding {
+): ExtractedKeys {
   const keys = new Set<string>();
   for (let index = 0; index < head.names.length; index++) {
     const name = head.names[index] ?? "";
@@ -40,24 +41,24 @@
       addCookieKeys(keys, value, placement.cookie);
     }
   }
-  const query = takeQueryKeys(keys, head.query, placement.queryParameter);
+  const query = extractQueryKeys(keys, head.query, placement.queryParameter);
   const target = query === undefined ? head.path : `${head.path}?${query}`;
   return { keys, target };
 }
 
-/** The name in lower case, with the underscores that some servers take for hyphens as hyphens. */
+/** The name in lower case, with hyphens for underscores, since some servers treat them alike. */
 export function normalizeName(name: string): string {
   const lower = name.toLowerCase();
   return lower.includes("_") ? lower.replaceAll("_", "-") : lower;
 }
 
-/** Whether a header, by its normalized name, may carry a key or a forged identity. */
+/** Whether a header with this normalized name may carry a key or a forged identity. */
 export function isRemovedHeader(name: string, placement: model.KeyPlacement): boolean {
   return CREDENTIAL_HEADERS.has(name) || name === placement.header ||
-    name.startsWith(OWN_HEADER_PREFIX);
+    name.startsWith(RESERVED_HEADER_PREFIX);
 }
 
-/** Removes the key's cookie from a cookie header; undefined when nothing is left. */
+/** Removes the key's cookie from a `Cookie` header; undefined if nothing is left. */
 export function removeCookieKey(value: string, cookie: string | undefined): string | undefined {
   if (cookie === undefined) {
     return value;
@@ -67,7 +68,7 @@
   return joined === "" ? undefined : joined;
 }
 
-/** Whether a text holds the key as it is or percent-encoded. */
+/** Whether a text contains the key, literally or percent-encoded. */
 export function containsKey(text: string, key: string): boolean {
   return text.includes(key) || (text.includes("%") && decodeLeniently(text).includes(key));
 }
@@ -78,7 +79,7 @@
   if (parameter === undefined || queryStart === -1) {
     return url;
   }
-  const query = takeQueryKeys(new Set(), url.slice(queryStart + 1), parameter);
+  const query = extractQueryKeys(new Set(), url.slice(queryStart + 1), parameter);
   const path = url.slice(0, queryStart);
   return query === undefined ? path : `${path}?${query}`;
 }
@@ -98,14 +99,14 @@
   if (basic === undefined) {
     return undefined;
   }
-  // The key is the password; where there is none, it is the user name.
+  // The key is the password, or the user name if the password is empty.
   const pair = Buffer.from(basic, "base64").toString("utf8");
   const colon = pair.indexOf(":");
   const password = colon === -1 ? "" : pair.slice(colon + 1);
   return password === "" ? pair.slice(0, colon === -1 ? undefined : colon) : password;
 }
 
-function takeQueryKeys(
+function extractQueryKeys(
   keys: Set<string>,
   query: string | undefined,
   parameter: string | undefined,
@@ -115,7 +116,7 @@
   }
   const wanted = parameter.toLowerCase();
   let kept: string | undefined;
-  // Some servers separate parameters by semicolons too; separators stay as the caller wrote them.
+  // Some servers also accept semicolons as separators. The caller's separators are preserved.
   const parts = query.split(/([&;])/);
   for (let index = 0; index < parts.length; index += 2) {
     const part = parts[index] ?? "";
--- a/packages/gateway/src/listener.ts
+++ b/packages/gateway/src/listener.ts
@@ -1,5 +1,5 @@
 /**
- * The caller-facing socket: HTTP or HTTPS, its bounds, and what is said to those who break them.
+ * The HTTP or HTTPS listener for callers: its limits, and the refusals sent when one is exceeded.
  */
 
 import * as http from "node:http";
@@ -15,25 +15,25 @@
 /** Longer than the usual 60 s of balancers, so that they close idle connections first. */
 const KEEP_ALIVE_MILLISECONDS = 75_000;
 
-/** How often slow senders are looked for. */
-const CHECK_INTERVAL_MILLISECONDS = 500;
+/** How often the server checks connections for header and request timeouts. */
+const TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 500;
 
-/** Bounds what no route's own timeout bounds, such as the rest of a refused request. */
+/** Limits what no route timeout covers, such as the rest of a refused request's body. */
 const REQUEST_TIMEOUT_MILLISECONDS = 660_000;
 
-/** Time for connections without a complete request to send it, once the listener is closed. */
-const LAST_REQUEST_MILLISECONDS = 2_000;
+/** How long open connections may still deliver a request after the listener is closed. */
+const CLOSE_GRACE_MILLISECONDS = 2_000;
 
-const LAST_REQUEST_STEP_MILLISECONDS = 20;
+const CLOSE_POLL_INTERVAL_MILLISECONDS = 20;
 
-/** How a request is handled; `wantsContinue` when the caller waits for leave to send its body. */
-export type RequestHandler = (
+/** Handles one request; `wantsContinue` if the caller waits for `100 Continue` to send its body. */
+export type RequestListener = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
   wantsContinue: boolean,
 ) => void;
 
-/** Accepts connections and refuses what is no HTTP request. */
+/** Accepts callers' connections and refuses input that is not a valid HTTP request. */
 export class Listener {
   readonly #settings: model.ListenerSettings;
   readonly #running: running.RunningRequests;
@@ -44,7 +44,7 @@
   /** @throws {tlsFiles.TlsStartError} When the TLS files cannot be used. */
   constructor(
     settings: model.ListenerSettings,
-    handler: RequestHandler,
+    handler: RequestListener,
     runningRequests: running.RunningRequests,
     gatewayMeters: meters.GatewayMeters,
     logger: kernel.PartLogger,
@@ -57,9 +57,9 @@
       headersTimeout: settings.headerTimeoutMilliseconds,
       requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
       keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
-      connectionsCheckingInterval: CHECK_INTERVAL_MILLISECONDS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MILLISECONDS,
       insecureHTTPParser: false,
-      // A missing host is refused by the request check, with the usual body.
+      // The request check refuses a missing Host header, with a problem details body.
       requireHostHeader: false,
     };
     if (settings.tls === undefined) {
@@ -69,7 +69,7 @@
       this.#server = server;
       this.#tlsWatcher = new tlsFiles.TlsFileWatcher(settings.tls, server, logger, gatewayMeters);
     }
-    // Headers beyond a count would be dropped unseen; the bound on their bytes is enough.
+    // Node drops headers above this count without an error. `maxHeaderSize` limits their size.
     this.#server.maxHeadersCount = 0;
     this.#server.on("request", (request, response) => handler(request, response, false));
     this.#server.on("checkContinue", (request, response) => handler(request, response, true));
@@ -82,7 +82,7 @@
       this.#refuseSocket(socket as net.Socket, refusals.Refusals.methodNotSupported);
     });
     this.#server.on("clientError", (error: NodeJS.ErrnoException, socket) => {
-      this.#refuseBroken(error, socket as net.Socket);
+      this.#refuseClientError(error, socket as net.Socket);
     });
   }
 
@@ -92,34 +92,34 @@
   }
 
   async start(): Promise<void> {
-    const place = kernel.getDefined(
+    const socketAddress = kernel.getDefined(
       model.splitSocketAddress(this.#settings.address),
-      "Settings hold checked addresses.",
+      "Addresses in settings have been validated.",
     );
     await new Promise<void>((resolve, reject) => {
       this.#server.once("error", reject);
-      this.#server.listen(place.port, place.host, resolve);
+      this.#server.listen(socketAddress.port, socketAddress.host, resolve);
     });
     this.#tlsWatcher?.start();
   }
 
-  /** Takes no new connections and resolves when the open ones have been served. */
+  /** Accepts no new connections and resolves once the requests on open ones have been served. */
   async close(): Promise<void> {
     this.#server.close();
     this.#server.closeIdleConnections();
     await this.#running.waitUntilIdle();
-    // A connection that was just accepted has a request on its way.
-    const until = kernel.getMonotonicMilliseconds() + LAST_REQUEST_MILLISECONDS;
+    // A request may still be in transit on a connection that was accepted just before the close.
+    const until = kernel.getMonotonicMilliseconds() + CLOSE_GRACE_MILLISECONDS;
     while (
       await this.#countConnections() > 0 && kernel.getMonotonicMilliseconds() < until
     ) {
       this.#server.closeIdleConnections();
-      await kernel.sleep(LAST_REQUEST_STEP_MILLISECONDS);
+      await kernel.sleep(CLOSE_POLL_INTERVAL_MILLISECONDS);
     }
     await this.#running.waitUntilIdle();
   }
 
-  /** Ends all connections at once. */
+  /** Closes all connections immediately. */
   stop(): void {
     this.#tlsWatcher?.stop();
     this.#server.close();
@@ -132,9 +132,9 @@
     });
   }
 
-  #refuseBroken(error: NodeJS.ErrnoException, socket: net.Socket): void {
-    const row = findRow(error.code ?? "");
-    // A connection that was opened ahead of need and never used is no request.
+  #refuseClientError(error: NodeJS.ErrnoException, socket: net.Socket): void {
+    const row = findParserRefusal(error.code ?? "");
+    // Clients may open connections in advance and never use them, which is no error.
     if (row === undefined || !socket.writable || socket.bytesRead === 0) {
       socket.destroy();
       return;
@@ -156,9 +156,9 @@
 
 function createTlsServer(
   options: http.ServerOptions,
-  names: tlsFiles.TlsFileNames,
+  paths: tlsFiles.TlsFilePaths,
 ): https.Server {
-  const material = tlsFiles.readTlsFiles(names);
+  const material = tlsFiles.readTlsFiles(paths);
   if (material.isErr()) {
     throw new tlsFiles.TlsStartError(
       `The TLS files cannot be used: ${material.error.detail}`,
@@ -167,8 +167,8 @@
   return https.createServer({ ...options, ...material.value, minVersion: "TLSv1.2" });
 }
 
-/** The row for a code of the HTTP parser; undefined when the connection itself broke. */
-function findRow(code: string): refusals.RefusalRow | undefined {
+/** The refusal for an error code of the HTTP parser; undefined for connection errors. */
+function findParserRefusal(code: string): refusals.RefusalRow | undefined {
   switch (code) {
     case "HPE_HEADER_OVERFLOW":
       return refusals.Refusals.headersTooLarge;
--- a/packages/gateway/src/mod.ts
+++ b/packages/gateway/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway: the caller-facing side of a VM.
+ * The gateway: accepts callers' HTTP requests and forwards them to targets.
  */
 
 export * from "./gateway.ts";
--- a/packages/gateway/src/refusals.ts
+++ b/packages/gateway/src/refusals.ts
@@ -1,11 +1,11 @@
 /**
- * The table of refusals: every answer that the gateway makes itself.
+ * The table of refusals: every error response that the gateway generates itself.
  */
 
 import * as http from "node:http";
 import type * as types from "./types.ts";
 
-/** One row of the table. Reasons are stable; they appear in answers and counters. */
+/** One row of the table. Reasons are stable: they appear in responses and metrics. */
 export interface RefusalRow {
   readonly reason: string;
   readonly status: number;
@@ -108,7 +108,7 @@
   readonly retryAfterMilliseconds?: number | undefined;
 }
 
-/** Header that tells whether a refused request has run. */
+/** Response header that states whether a refused request has run. */
 export const RUN_HEADER = "hemlockwalk-run";
 
 /** Creates a refusal of a request that did not run. */
@@ -124,7 +124,7 @@
 /**
  * Answers a request with a refusal as problem details (RFC 9457).
  *
- * @param close Whether the connection ends after the answer.
+ * @param close Whether to close the connection after the response.
  */
 export function sendRefusal(
   response: http.ServerResponse,
@@ -140,7 +140,7 @@
   response.end(response.req.method === "HEAD" ? undefined : body);
 }
 
-/** A refusal as the whole text of an answer, for connections on which no request was understood. */
+/** A refusal as a raw HTTP response, for connections whose input could not be parsed. */
 export function formatRawRefusal(refusal: Refusal): string {
   const body = createBody(refusal);
   const headers = createHeaders(refusal, body);
--- a/packages/gateway/src/request_run.ts
+++ b/packages/gateway/src/request_run.ts
@@ -1,5 +1,5 @@
 /**
- * What is known of a request over its attempts.
+ * The state of a request across its attempts.
  */
 
 import type * as http from "node:http";
@@ -15,7 +15,7 @@
 import type * as running from "./running_requests.ts";
 import type * as types from "./types.ts";
 
-/** Longest wait of a retry for a slot: the request is answered soon once nothing helps. */
+/** Longest wait of a retry for a slot, so that a request which can't be retried is refused soon. */
 const RETRY_QUEUE_MILLISECONDS = 500;
 
 /** A request that is ready to run. */
@@ -28,23 +28,23 @@
   readonly trustForwardedHeaders: boolean;
 }
 
-/** What became of a request. */
+/** The result of forwarding a request. */
 export interface ForwardResult {
-  /** What the caller is told; undefined when an answer of the target began. */
+  /** The refusal to send; undefined if a response of the target has begun. */
   readonly refusal: refusals.Refusal | undefined;
-  /** Whether the target's answer went to the caller in full. */
+  /** Whether the complete response of the target went to the caller. */
   readonly answered: boolean;
-  /** Time that targets took, over all attempts. */
+  /** Time spent on targets, summed over all attempts. */
   readonly targetMilliseconds: number;
 }
 
-/** What is known of a request over its attempts. */
+/** The state of a request across its attempts. */
 export class RequestRun {
   readonly ready: ReadyRequest;
   readonly budget: retries.RetryBudget;
-  readonly tried = new Set<model.TargetId>();
+  readonly triedTargets = new Set<model.TargetId>();
   attempts = 0;
-  /** Whether an attempt has ended of which it is not certain that it did not run. */
+  /** Whether an ended attempt may have run on its target. */
   mayHaveRun = false;
   targetMilliseconds = 0;
 
@@ -55,16 +55,16 @@
 
   createHeaders(leftMilliseconds: number): string[] {
     const { accepted, request, body, trustForwardedHeaders } = this.ready;
-    // The first attempt is nearly always the only one, so its list is not kept for others.
+    // Requests rarely need a second attempt, so the list is not cached.
     const created = headers.createForwardedHeaders(request, accepted, trustForwardedHeaders);
-    created.push(headers.DEADLINE_HEADER, String(Math.max(0, Math.floor(leftMilliseconds))));
+    created.push(headers.TIMEOUT_HEADER, String(Math.max(0, Math.floor(leftMilliseconds))));
     if (!body.isComplete && accepted.head.contentLength !== undefined) {
       created.push("content-length", String(accepted.head.contentLength));
     }
     return created;
   }
 
-  createSituation(provablyNotRun: boolean): retries.RetrySituation {
+  createRetryConditions(provablyNotRun: boolean): retries.RetryConditions {
     const { accepted, body } = this.ready;
     return {
       idempotent: accepted.idempotent,
@@ -95,12 +95,12 @@
   #hasOtherTarget(): boolean {
     const { snapshot, service } = this.ready.accepted;
     return snapshot.listTargets(service.id).some((target) =>
-      !target.leaving && !this.tried.has(target.id)
+      !target.leaving && !this.triedTargets.has(target.id)
     );
   }
 }
 
-/** A request at the queue of its service. */
+/** A request in the queue of its service. */
 export class QueueEntry implements limits.QueueRequest<targets.TargetLease> {
   readonly service: model.ServiceId;
   readonly workspace: model.WorkspaceId | undefined;
@@ -122,7 +122,7 @@
     this.#running = run.ready.running;
   }
 
-  /** Asked for only by a queue in which the request has to wait. */
+  /** Read only if the request has to wait in the queue. */
   get signal(): AbortSignal {
     return this.#running.signal;
   }
--- a/packages/gateway/src/requests.ts
+++ b/packages/gateway/src/requests.ts
@@ -1,8 +1,9 @@
 /**
- * Checks a request's line and framing before anything else looks at it.
+ * Validates the request line and the framing headers before any other processing.
  *
- * Whatever two parsers could read in two ways is refused: the route must be chosen by the same path
- * that the target sees, and the body must end where the target believes that it ends.
+ * Refuses everything that two parsers could interpret differently, to prevent request smuggling.
+ * The gateway must choose the route by the path that the target sees, and both must agree on where
+ * the body ends.
  */
 
 import type * as http from "node:http";
@@ -16,20 +17,20 @@
 /** Longest path and query, in characters. */
 const MAXIMUM_TARGET_LENGTH = 8_192;
 
-/** Paths that need no further look: no escape, no empty segment, no segment that starts with a dot. */
-const PLAIN_PATH = /^(?:\/[A-Za-z0-9_~!$&'()*+,=:@-][A-Za-z0-9._~!$&'()*+,=:@-]*)*\/?$/;
+/** Paths that need no decoding: no escapes, empty segments or segments with a leading dot. */
+const UNESCAPED_PATH = /^(?:\/[A-Za-z0-9_~!$&'()*+,=:@-][A-Za-z0-9._~!$&'()*+,=:@-]*)*\/?$/;
 
-/** Printable ASCII without a fragment's hash or a backslash. */
+/** Printable ASCII without `#` and backslash. */
 const ALLOWED_TARGET = /^[\x21\x22\x24-\x5b\x5d-\x7e]+$/;
 
-/** Escapes of characters that change the structure of a path, once or twice encoded. */
+/** Escapes of `/`, `\`, NUL and `..`, single or nested: they change the structure of a path. */
 const STRUCTURAL_ESCAPE = /%(?:25)*(?:2f|5c|00|2e%(?:25)*2e)/i;
 
 const HOST = /^(?:[a-z0-9.-]+|\[[0-9a-f:.]+\])(?::\d{1,5})?$/;
 
 const CONTENT_LENGTH = /^\d{1,15}$/;
 
-/** Checks the request line and the headers that frame the request. */
+/** Validates the request line and the headers that define the request's framing. */
 export function checkRequest(request: http.IncomingMessage): HeadResult {
   const target = request.url ?? "";
   if (target.length > MAXIMUM_TARGET_LENGTH) {
@@ -46,7 +47,7 @@
   }
   const host = getHost(request);
   const names = listNames(request);
-  if (host === undefined || !isFramingClear(request, names)) {
+  if (host === undefined || !isFramingUnambiguous(request, names)) {
     return refuse(refusals.Refusals.malformedRequest);
   }
   return neverthrow.ok({
@@ -60,9 +61,9 @@
   });
 }
 
-/** The path as a target sees it; undefined when targets could see different ones. */
+/** The decoded path; undefined if targets could decode it differently. */
 function getRoutingPath(path: string): string | undefined {
-  if (PLAIN_PATH.test(path)) {
+  if (UNESCAPED_PATH.test(path)) {
     return path;
   }
   if (STRUCTURAL_ESCAPE.test(path)) {
@@ -95,7 +96,7 @@
   return false;
 }
 
-/** Some servers drop what follows a semicolon before they resolve dots, so it is dropped here too. */
+/** Ignores path parameters after a semicolon: some servers strip them before they resolve dots. */
 function hasDotSegment(path: string): boolean {
   return path.split("/").some((segment) => {
     const name = segment.split(";", 1)[0];
@@ -106,7 +107,7 @@
 function getHost(request: http.IncomingMessage): string | undefined {
   const host = request.headers.host;
   if (host === undefined || host === "") {
-    // HTTP/1.0 has no host; HTTP/1.1 demands one, so its absence points to a broken sender.
+    // The Host header is optional in HTTP/1.0 and required in HTTP/1.1.
     return request.httpVersion === "1.0" ? "" : undefined;
   }
   const lower = host.toLowerCase();
@@ -117,7 +118,7 @@
   return name.endsWith(".") ? name.slice(0, -1) : name;
 }
 
-/** The names of the headers in the form in which they are compared, in the order of the request. */
+/** Normalized header names, in the order of the request. */
 function listNames(request: http.IncomingMessage): string[] {
   const names: string[] = [];
   for (let index = 0; index < request.rawHeaders.length; index += 2) {
@@ -127,7 +128,7 @@
 }
 
 /** Whether all receivers agree on where the body ends. */
-function isFramingClear(request: http.IncomingMessage, names: readonly string[]): boolean {
+function isFramingUnambiguous(request: http.IncomingMessage, names: readonly string[]): boolean {
   let hosts = 0;
   let lengths = 0;
   let encodings = 0;
--- a/packages/gateway/src/retries.ts
+++ b/packages/gateway/src/retries.ts
@@ -1,33 +1,33 @@
 /**
- * Whether a failed attempt is followed by another one.
+ * Decides whether a failed attempt is retried.
  *
- * A request is sent again only if it is idempotent or provably did not run, while nothing of an
- * answer has reached the caller, within the request's deadline and a budget, so that the retries of
- * all VMs together stay a small share of the requests however many targets fail.
+ * A request is retried only if it is idempotent or provably did not run, if no part of a response
+ * has reached the caller, and if the deadline and a retry budget allow it. The budget keeps the
+ * retries of all VMs together a small share of the requests, however many targets fail.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 import type * as model from "@hemlockwalk/model";
 
-/** Attempts of one request, the first one included. */
+/** Attempts for one request, including the first. */
 const MAXIMUM_ATTEMPTS = 3;
 
-/** Retries that each request adds to its service's budget. */
+/** Retries that each request adds to the budget of its service. */
 const BUDGET_PER_REQUEST = 0.1;
 
-/** Most retries that a budget holds. */
+/** Most retries that a budget can accumulate. */
 const BUDGET_CAPACITY = 10;
 
-/** What a budget starts with: VMs that start during an outage must not add to it. */
-const BUDGET_START = 2;
+/** Initial budget; low, so that VMs started during an outage do not add load. */
+const INITIAL_BUDGET = 2;
 
-/** With less time than this another attempt is not begun. */
+/** No retry starts with less time left than this. */
 const SHORTEST_ATTEMPT_MILLISECONDS = 5;
 
-/** Statuses by which a target tells of a passing trouble. */
+/** Statuses that report a transient error. */
 const RETRIED_STATUSES: ReadonlySet<number> = new Set([502, 503, 504]);
 
-/** Why a request is sent again. */
+/** Why a request is retried. */
 export const RETRY_REASONS = [
   "connect_failed",
   "not_run_signal",
@@ -36,10 +36,10 @@
   "server_error",
 ] as const;
 
-/** One of the reasons why a request is sent again. */
+/** A reason why a request is retried. */
 export type RetryReason = typeof RETRY_REASONS[number];
 
-/** Why a failed request is not sent again. */
+/** Why a failed request is not retried. */
 export const NO_RETRY_REASONS = [
   "may_have_run",
   "body_not_replayable",
@@ -49,11 +49,11 @@
   "budget_spent",
 ] as const;
 
-/** One of the reasons why a failed request is not sent again. */
+/** A reason why a failed request is not retried. */
 export type NoRetryReason = typeof NO_RETRY_REASONS[number];
 
-/** What the decision depends on. */
-export interface RetrySituation {
+/** The input of the retry decision. */
+export interface RetryConditions {
   readonly idempotent: boolean;
   /** Whether the target provably did not run the request. */
   readonly provablyNotRun: boolean;
@@ -64,21 +64,21 @@
   readonly hasOtherTarget: boolean;
 }
 
-/** Whether the status of an idempotent request's answer is worth another attempt. */
+/** Whether a response with this status may be discarded to retry an idempotent request. */
 export function isRetriedStatus(status: number): boolean {
   return RETRIED_STATUSES.has(status);
 }
 
-/** Retries that a VM may still make for one service. */
+/** The retries that this VM may still make for one service. */
 export class RetryBudget {
-  #level = BUDGET_START;
+  #level = INITIAL_BUDGET;
 
-  /** Notes a request, which earns a part of a retry. */
+  /** Adds a request's share of a retry to the budget. */
   addRequest(): void {
     this.#level = Math.min(BUDGET_CAPACITY, this.#level + BUDGET_PER_REQUEST);
   }
 
-  tryTake(): boolean {
+  tryTakeRetry(): boolean {
     if (this.#level < 1) {
       return false;
     }
@@ -87,7 +87,7 @@
   }
 }
 
-/** The budgets of all services. */
+/** The retry budgets of all services. */
 export class RetryBudgets {
   readonly #budgets = new Map<model.ServiceId, RetryBudget>();
 
@@ -101,28 +101,28 @@
   }
 }
 
-/** Why there is no other attempt; undefined when one may follow, budget aside. */
-export function findObstacle(situation: RetrySituation): NoRetryReason | undefined {
-  if (!situation.idempotent && !situation.provablyNotRun) {
+/** Why the request can't be retried, apart from the budget; undefined if it can. */
+export function findNoRetryReason(conditions: RetryConditions): NoRetryReason | undefined {
+  if (!conditions.idempotent && !conditions.provablyNotRun) {
     return "may_have_run";
   }
-  if (!situation.bodyReplayable) {
+  if (!conditions.bodyReplayable) {
     return "body_not_replayable";
   }
-  if (situation.attempts >= MAXIMUM_ATTEMPTS) {
+  if (conditions.attempts >= MAXIMUM_ATTEMPTS) {
     return "attempts_spent";
   }
-  if (!situation.hasOtherTarget) {
+  if (!conditions.hasOtherTarget) {
     return "no_other_target";
   }
-  const left = situation.deadlineMilliseconds - kernel.getMonotonicMilliseconds();
-  return left < SHORTEST_ATTEMPT_MILLISECONDS ? "deadline_near" : undefined;
+  const leftMilliseconds = conditions.deadlineMilliseconds - kernel.getMonotonicMilliseconds();
+  return leftMilliseconds < SHORTEST_ATTEMPT_MILLISECONDS ? "deadline_near" : undefined;
 }
 
-/** Takes a retry from the budget unless something stands against it. */
+/** Takes a retry from the budget if one is allowed; otherwise returns the reason against it. */
 export function takeRetry(
-  situation: RetrySituation,
+  conditions: RetryConditions,
   budget: RetryBudget,
 ): NoRetryReason | undefined {
-  return findObstacle(situation) ?? (budget.tryTake() ? undefined : "budget_spent");
+  return findNoRetryReason(conditions) ?? (budget.tryTakeRetry() ? undefined : "budget_spent");
 }
--- a/packages/gateway/src/running_requests.ts
+++ b/packages/gateway/src/running_requests.ts
@@ -1,8 +1,8 @@
 /**
- * The requests that run now and the connections that they came on, by key.
+ * The running requests and their callers' connections, by key.
  *
- * A withdrawn key ends its running requests at once, and the connections that it was used on as soon
- * as no request of another key runs on them.
+ * When a key is withdrawn, its running requests end immediately. The connections on which it was
+ * used close as soon as no request of another key is running on them.
  */
 
 import type * as http from "node:http";
@@ -12,12 +12,13 @@
 import type * as types from "./types.ts";
 
 /**
- * Keys remembered for one connection. A balancer may carry many callers on one connection; beyond
- * this number the oldest is forgotten, which costs only the closing of an idle connection.
+ * Most keys that are tracked for one connection, since a balancer may send requests of many callers
+ * on one. Beyond this number the oldest key is dropped. If it is withdrawn later, the connection
+ * stays open, but the key's running requests still end.
  */
 const MAXIMUM_KEYS_PER_CONNECTION = 32;
 
-/** A request between its acceptance and the end of its answer. */
+/** A request from its acceptance to the end of its response. */
 export class RunningRequest {
   readonly #deadlineTimer: NodeJS.Timeout;
   #abort: AbortController | undefined;
@@ -28,12 +29,12 @@
     this.#deadlineTimer = setTimeout(() => this.end("deadline"), Math.max(0, leftMilliseconds));
   }
 
-  /** Why the request was ended early; undefined while it runs. */
+  /** Why the request was ended early; undefined otherwise. */
   get endReason(): types.EndReason | undefined {
     return this.#endReason;
   }
 
-  /** Aborts when the request is ended early. Created when first asked for: most requests never wait. */
+  /** Aborts when the request is ended early. Created on first use: most requests never wait. */
   get signal(): AbortSignal {
     if (this.#abort === undefined) {
       this.#abort = new AbortController();
@@ -44,12 +45,12 @@
     return this.#abort.signal;
   }
 
-  /** Sets what is to be done when the request is ended early; replaces the earlier listener. */
+  /** Sets the listener for an early end of the request, replacing the previous one. */
   onEnd(listener: (() => void) | undefined): void {
     this.#listener = listener;
   }
 
-  /** Ends the request early. Only the first reason counts. */
+  /** Ends the request early. Calls after the first have no effect. */
   end(reason: types.EndReason): void {
     if (this.#endReason !== undefined) {
       return;
@@ -59,7 +60,7 @@
     this.#listener?.();
   }
 
-  /** The answer is complete; the deadline no longer matters. */
+  /** Stops the deadline timer once the response has ended. */
   finish(): void {
     clearTimeout(this.#deadlineTimer);
   }
@@ -69,25 +70,26 @@
 class CallerConnection {
   readonly socket: net.Socket;
   readonly keys = new Set<model.KeyDigest>();
-  /** Answers that have not ended, with what is to be done when they do. */
+  /** Responses that have not ended, with the callbacks for their end. */
   readonly answers = new Map<http.ServerResponse, () => void>();
   #closing = false;
-  #lastWords: string | undefined;
+  #finalResponse: string | undefined;
 
   constructor(socket: net.Socket) {
     this.socket = socket;
   }
 
   /**
-   * Ends the connection as soon as no answer runs on it.
+   * Closes the connection once all its responses have ended.
    *
-   * @param lastWords What is sent before the end.
+   * @param finalResponse Raw response to send before the close.
    */
-  close(lastWords?: string): void {
+  close(finalResponse?: string): void {
     this.#closing = true;
-    this.#lastWords = lastWords;
-    // An answer that announces the end of the connection would leave no room for last words.
-    if (lastWords === undefined) {
+    this.#finalResponse = finalResponse;
+    // A response with `Connection: close` must be the last one, so none may announce the close if a
+    // final response follows.
+    if (finalResponse === undefined) {
       for (const answer of this.answers.keys()) {
         answer.shouldKeepAlive = false;
       }
@@ -99,14 +101,14 @@
     if (!this.#closing || this.answers.size > 0) {
       return;
     }
-    if (this.#lastWords !== undefined && this.socket.writable) {
-      this.socket.write(this.#lastWords);
+    if (this.#finalResponse !== undefined && this.socket.writable) {
+      this.socket.write(this.#finalResponse);
     }
     this.socket.destroySoon();
   }
 }
 
-/** All requests and connections of the gateway's listener. */
+/** All running requests and callers' connections of the listener. */
 export class RunningRequests {
   readonly #requests = new Map<model.KeyDigest, Set<RunningRequest>>();
   readonly #connectionsByKey = new Map<model.KeyDigest, Set<CallerConnection>>();
@@ -114,45 +116,46 @@
   readonly #idleWaiters: (() => void)[] = [];
   #count = 0;
 
-  /** Requests whose answer is not complete. */
+  /** Number of requests whose response has not ended. */
   get count(): number {
     return this.#count;
   }
 
   /**
-   * Notes that a request came on a connection.
+   * Tracks the response to a request that arrived on a connection.
    *
-   * @param onClose Called once, when the answer has ended, complete or not.
+   * @param onClose Called once when the response has ended, complete or not.
    */
-  openAnswer(socket: net.Socket, response: http.ServerResponse, onClose: () => void): void {
+  trackAnswer(socket: net.Socket, response: http.ServerResponse, onClose: () => void): void {
     const connection = this.#getConnection(socket);
     connection.answers.set(response, onClose);
     this.#count++;
     response.once("close", () => this.#closeAnswer(connection, response));
     if (socket.destroyed) {
-      // The parser may still hold requests of a connection that has ended.
+      // The parser may still emit requests after their connection has closed.
       process.nextTick(() => this.#closeAnswer(connection, response));
     }
   }
 
   /**
-   * Ends a connection on which something unreadable came. Requests before it are still answered; one
-   * whose own body is unreadable is cut off, since it can never be complete.
+   * Refuses unparsable input and closes its connection. Earlier requests are still answered. If the
+   * input belongs to the body of a running request, that request can't complete, so the connection
+   * is destroyed.
    *
-   * @returns Whether the last words will be sent.
+   * @returns Whether the final response will be sent.
    */
-  refuseConnection(socket: net.Socket, lastWords: string): boolean {
+  refuseConnection(socket: net.Socket, finalResponse: string): boolean {
     const connection = this.#getConnection(socket);
     const isBodyBroken = [...connection.answers.keys()].some((answer) => !answer.req.complete);
     if (isBodyBroken) {
       socket.destroy();
       return false;
     }
-    connection.close(lastWords);
+    connection.close(finalResponse);
     return true;
   }
 
-  /** Notes that a request with a key runs, until `remove`. */
+  /** Tracks a request with a key until `remove` is called. */
   add(request: RunningRequest, key: model.KeyDigest, socket: net.Socket): void {
     addToSet(this.#requests, key, request);
     const connection = this.#getConnection(socket);
@@ -163,7 +166,7 @@
     addToSet(this.#connectionsByKey, key, connection);
     if (connection.keys.size > MAXIMUM_KEYS_PER_CONNECTION) {
       const [oldest] = connection.keys;
-      this.#forgetKey(connection, oldest as model.KeyDigest);
+      this.#dropKey(connection, oldest as model.KeyDigest);
     }
   }
 
@@ -172,11 +175,11 @@
   }
 
   /**
-   * Ends everything that a withdrawn key runs.
+   * Ends the running requests of a withdrawn key and closes the connections on which it was used.
    *
-   * @returns How many requests were ended.
+   * @returns Number of ended requests.
    */
-  withdraw(key: model.KeyDigest): number {
+  withdrawKey(key: model.KeyDigest): number {
     const requests = [...this.#requests.get(key) ?? []];
     for (const request of requests) {
       request.end("key_withdrawn");
@@ -187,7 +190,7 @@
     return requests.length;
   }
 
-  /** Resolves when no answer runs. */
+  /** Resolves when all responses have ended. */
   async waitUntilIdle(): Promise<void> {
     if (this.#count > 0) {
       await new Promise<void>((resolve) => this.#idleWaiters.push(resolve));
@@ -207,9 +210,9 @@
 
   #closeConnection(connection: CallerConnection): void {
     for (const key of [...connection.keys]) {
-      this.#forgetKey(connection, key);
+      this.#dropKey(connection, key);
     }
-    // An answer that waits behind another one on the connection gets no event of its own.
+    // Node emits no `close` event for a response that is queued behind another on the connection.
     for (const response of [...connection.answers.keys()]) {
       this.#closeAnswer(connection, response);
     }
@@ -229,7 +232,7 @@
     }
   }
 
-  #forgetKey(connection: CallerConnection, key: model.KeyDigest): void {
+  #dropKey(connection: CallerConnection, key: model.KeyDigest): void {
     connection.keys.delete(key);
     removeFromSet(this.#connectionsByKey, key, connection);
   }
--- a/packages/gateway/src/tls_files.ts
+++ b/packages/gateway/src/tls_files.ts
@@ -1,5 +1,5 @@
 /**
- * The listener's certificate and key, read again when their files change.
+ * The listener's certificate and key, reloaded when their files change.
  */
 
 import * as fs from "node:fs";
@@ -11,37 +11,37 @@
 
 const POLL_MILLISECONDS = 1_000;
 
-/** Names of the two files. */
-export interface TlsFileNames {
+/** Paths of the certificate and key files. */
+export interface TlsFilePaths {
   readonly certificateFile: string;
   readonly keyFile: string;
 }
 
-/** A certificate and its key that belong together. */
+/** A certificate and its matching key. */
 export interface TlsMaterial {
   readonly cert: Buffer;
   readonly key: Buffer;
 }
 
-/** The files cannot be used. */
+/** The files are unreadable, malformed or don't match. */
 export interface TlsFileError {
   readonly kind: "unusable";
   readonly detail: string;
 }
 
-/** Thrown when the files cannot be used at the start. */
+/** Thrown if the files cannot be used at startup. */
 export class TlsStartError extends Error {
   override readonly name = "TlsStartError";
 }
 
-/** Reads both files and makes sure that they belong together. */
+/** Reads both files and checks that they match. */
 export function readTlsFiles(
-  names: TlsFileNames,
+  paths: TlsFilePaths,
 ): neverthrow.Result<TlsMaterial, TlsFileError> {
   try {
     const material = {
-      cert: fs.readFileSync(names.certificateFile),
-      key: fs.readFileSync(names.keyFile),
+      cert: fs.readFileSync(paths.certificateFile),
+      key: fs.readFileSync(paths.keyFile),
     };
     tls.createSecureContext(material);
     return neverthrow.ok(material);
@@ -50,49 +50,51 @@
   }
 }
 
-/** Follows the files and gives new ones to a server, whose open connections go on. */
+/** Reloads changed files into a server. Its open connections are not affected. */
 export class TlsFileWatcher {
-  readonly #names: TlsFileNames;
+  readonly #paths: TlsFilePaths;
   readonly #server: https.Server;
   readonly #logger: kernel.PartLogger;
   readonly #meters: meters.GatewayMeters;
   readonly #onChange = () => this.reload();
 
   constructor(
-    names: TlsFileNames,
+    paths: TlsFilePaths,
     server: https.Server,
     logger: kernel.PartLogger,
     gatewayMeters: meters.GatewayMeters,
   ) {
-    this.#names = names;
+    this.#paths = paths;
     this.#server = server;
     this.#logger = logger;
     this.#meters = gatewayMeters;
   }
 
   start(): void {
-    for (const file of [this.#names.certificateFile, this.#names.keyFile]) {
-      // Polling also sees files that are replaced through a changed link.
+    for (const file of [this.#paths.certificateFile, this.#paths.keyFile]) {
+      // Polling also detects files that are replaced by changing a symbolic link.
       fs.watchFile(file, { interval: POLL_MILLISECONDS, persistent: false }, this.#onChange);
     }
   }
 
   stop(): void {
-    for (const file of [this.#names.certificateFile, this.#names.keyFile]) {
+    for (const file of [this.#paths.certificateFile, this.#paths.keyFile]) {
       fs.unwatchFile(file, this.#onChange);
     }
   }
 
-  /** Takes the files if they can be used; otherwise the ones in use stay. */
+  /** Loads the files if they are usable; otherwise keeps the current certificate and key. */
   reload(): void {
-    const material = readTlsFiles(this.#names);
+    const material = readTlsFiles(this.#paths);
     if (material.isErr()) {
       this.#meters.tlsReloads.inc({ result: "refused" });
-      this.#logger.error("The new TLS files are refused.", { detail: material.error.detail });
+      this.#logger.error("Cannot use the changed TLS files; keeping the current certificate.", {
+        detail: material.error.detail,
+      });
       return;
     }
     this.#server.setSecureContext({ ...material.value });
     this.#meters.tlsReloads.inc({ result: "accepted" });
-    this.#logger.info("New TLS files are in use.");
+    this.#logger.info("Loaded the changed TLS files.");
   }
 }
--- a/packages/gateway/src/types.ts
+++ b/packages/gateway/src/types.ts
@@ -5,23 +5,23 @@
 import type * as configuration from "@hemlockwalk/configuration";
 import type * as model from "@hemlockwalk/model";
 
-/** Whether a request that was refused has run: `no` only where that is certain. */
+/** Whether a refused request has run on a target; `no` only if that is certain. */
 export type RunState = "no" | "unknown";
 
-/** What a request line and its framing headers say, after they have been checked. */
+/** The validated request line and framing headers. */
 export interface RequestHead {
   readonly method: string;
-  /** Normalized names of the headers, one for each pair of the raw headers. */
+  /** Normalized header names, one for each pair of the raw headers. */
   readonly names: readonly string[];
-  /** Host name in lower case without its port; empty when the caller sent none. */
+  /** Host name in lower case without the port; empty if the request has none. */
   readonly host: string;
-  /** The path with percent-encoding undone, as a target sees it. Only for the choice of a route. */
+  /** The percent-decoded path, as a target sees it. Used only to match routes. */
   readonly routingPath: string;
   /** The path as it is forwarded. */
   readonly path: string;
-  /** The query without its question mark; undefined when there is none. */
+  /** The query without its question mark; undefined if there is none. */
   readonly query: string | undefined;
-  /** Bytes of the body; undefined when it is sent in chunks of unknown total. */
+  /** Length of the body in bytes; undefined for a chunked body. */
   readonly contentLength: number | undefined;
 }
 
@@ -33,14 +33,14 @@
   readonly service: model.Service;
   /** Undefined on open routes. */
   readonly workspace: model.Workspace | undefined;
-  /** The caller's key, kept only to make sure that nothing forwarded contains it. */
+  /** The caller's key, kept to ensure that no forwarded header contains it. */
   readonly key: string | undefined;
   /** Undefined on open routes. */
   readonly keyDigest: model.KeyDigest | undefined;
   /** Path and query without the caller's key. */
   readonly target: string;
   readonly idempotent: boolean;
-  /** The most bytes that the request's body may have. */
+  /** Maximum size of the request's body. */
   readonly bodyLimitBytes: number;
   /** When the request arrived, on the monotonic clock. */
   readonly arrivedMilliseconds: number;
@@ -48,5 +48,5 @@
   readonly deadlineMilliseconds: number;
 }
 
-/** Why a running request is ended before its answer is complete. */
+/** Why a running request is ended before its response is complete. */
 export type EndReason = "caller_gone" | "key_withdrawn" | "deadline";
--- a/packages/gateway/test/answers_test.ts
+++ b/packages/gateway/test/answers_test.ts
@@ -1,5 +1,5 @@
 /**
- * Each caller gets its own complete answer, and a cut answer never ends cleanly.
+ * Responses never reach the wrong caller, and a truncated response never ends like a complete one.
  */
 
 import assert from "node:assert/strict";
@@ -12,23 +12,23 @@
 
 type Framing = "length" | "chunked";
 
-/** What a target does with one request. */
+/** How a target responds to one request. */
 interface Script {
   readonly framing: Framing;
   readonly size: number;
-  /** Lengths of the pieces in which the answer is written, in turn. */
+  /** Lengths of the writes into which the response is split, used cyclically. */
   readonly pieces: readonly number[];
-  /** Turns of the event loop before the first piece. */
+  /** Event loop iterations before the first write. */
   readonly delay: number;
-  /** Share of the answer after which the connection breaks; undefined for a complete answer. */
+  /** Share of the response that is sent before the connection ends; undefined for all of it. */
   readonly cutAfter: number | undefined;
 }
 
-/** Letters that stand in no chunk's length, one for each answer. */
-const MARKS = "GHIJKLMN";
+/** One letter for each response; none is a hexadecimal digit, as chunk lengths contain. */
+const BODY_LETTERS = "GHIJKLMN";
 
 function createBody(index: number, size: number): string {
-  return MARKS.charAt(index).repeat(size);
+  return BODY_LETTERS.charAt(index).repeat(size);
 }
 
 function createAnswer(index: number, script: Script): string {
@@ -48,28 +48,28 @@
   }
 }
 
-async function turn(times: number): Promise<void> {
+async function waitTurns(times: number): Promise<void> {
   for (let count = 0; count < times; count++) {
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
 
-async function play(socket: net.Socket, index: number, script: Script): Promise<void> {
+async function runScript(socket: net.Socket, index: number, script: Script): Promise<void> {
   const whole = createAnswer(index, script);
   const end = script.cutAfter === undefined
     ? whole.length
-    // At least the last byte stays away.
+    // At least the last byte is missing.
     : Math.min(whole.length - 1, Math.floor(whole.length * script.cutAfter));
-  await turn(script.delay);
+  await waitTurns(script.delay);
   let from = 0;
   for (let piece = 0; from < end; piece++) {
     const length = script.pieces[piece % script.pieces.length] ?? 1;
     socket.write(whole.slice(from, Math.min(end, from + length)));
     from += length;
-    await turn(1);
+    await waitTurns(1);
   }
   if (script.cutAfter !== undefined) {
-    // The orderly end of a process that dies and the reset of a broken path, in turn.
+    // Alternates an orderly close, as from a crashing process, and a reset.
     if (index % 2 === 0) {
       socket.end();
     } else {
@@ -78,7 +78,7 @@
   }
 }
 
-/** A target that reads bare requests whose path ends in the number of their script. */
+/** Starts a target that runs the script whose index ends the request's path. */
 function startScriptedTarget(getScript: (index: number) => Script): Promise<harness.TestServer> {
   return harness.startRawTarget((socket) => {
     let text = "";
@@ -88,7 +88,7 @@
       if (match !== null) {
         text = text.slice(match[0].length);
         const index = Number(match[1]);
-        void play(socket, index, getScript(index));
+        void runScript(socket, index, getScript(index));
       }
     });
   });
@@ -107,15 +107,18 @@
 
 function checkComplete(scripts: readonly Script[], index: number, body: string): void {
   const expected = scripts[index];
-  assert.ok(expected !== undefined && expected.cutAfter === undefined, "A cut answer ended.");
+  assert.ok(
+    expected !== undefined && expected.cutAfter === undefined,
+    "A truncated response ended normally.",
+  );
   assert.equal(body, createBody(index, expected.size));
 }
 
 test.describe("answers", () => {
-  test.it("never mix, and never end cleanly when cut, on parallel callers", async (context) => {
+  test.it("reach only their own caller; truncated ones don't end normally", async (context) => {
     let scripts: readonly Script[] = [];
     const target = await startScriptedTarget((index) => scripts[index] as Script);
-    // Not retried, so that each cut is seen.
+    // Retries are disabled so that the caller sees each truncated response.
     const vm = await harness.startVm({
       targets: [target.address],
       route: { idempotentMethods: [] },
@@ -137,7 +140,7 @@
             cut++;
             assert.notEqual(scripts[index]?.cutAfter, undefined, String(result.reason));
           } else if (result.value.status === 502) {
-            // The cut came before the whole head.
+            // The connection ended before the headers were complete.
             assert.notEqual(scripts[index]?.cutAfter, undefined);
           } else {
             complete++;
@@ -150,7 +153,7 @@
     assert.ok(complete > 100 && cut > 50, `${complete} complete, ${cut} cut`);
   });
 
-  test.it("come in order and unmixed to a caller that sends all at once", async (context) => {
+  test.it("reach a caller that pipelines its requests complete and in order", async (context) => {
     let scripts: readonly Script[] = [];
     const target = await startScriptedTarget((index) => scripts[index] as Script);
     const vm = await harness.startVm({
@@ -187,7 +190,7 @@
     );
   });
 
-  test.it("that are cut reset a caller that reads until the close", async (context) => {
+  test.it("that are truncated reset a caller that reads until the close", async (context) => {
     const target = await harness.startRawTarget((socket) => {
       socket.once("data", () => {
         socket.end("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n");
@@ -205,7 +208,7 @@
     assert.equal(await vm.getCount("hemlockwalk_cut_answers_total", { reason: "truncated" }), 1);
   });
 
-  test.it("never follow a body that its caller did not finish", async (context) => {
+  test.it("never follow a request body that the caller did not complete", async (context) => {
     let begun = 0;
     let ends = 0;
     let cuts = 0;
@@ -233,7 +236,7 @@
       socket.write(head + framing);
       socket.write(part);
       await harness.waitFor(() => begun > before);
-      // An orderly end in the middle of the body, as from a process that died.
+      // An orderly close in the middle of the body, as from a crashing process.
       socket.end();
       await harness.waitFor(() => cuts === begun);
       await harness.waitFor(async () => await vm.getCount("hemlockwalk_running_requests") === 0);
@@ -242,7 +245,7 @@
     assert.equal(await vm.getCount("hemlockwalk_refusals_total"), 0);
   });
 
-  test.it("that come twice or late reach no other caller", async (context) => {
+  test.it("that arrive twice or late reach no other caller", async (context) => {
     const target = await harness.startRawTarget((socket) => {
       socket.on("data", (chunk) => {
         const index = /fines\/(\d+)/.exec(chunk.toString("latin1"))?.[1] ?? "";
@@ -279,7 +282,7 @@
     }
   });
 
-  test.it("that end only with their connection are refused", async (context) => {
+  test.it("without a defined length are refused", async (context) => {
     const target = await harness.startRawTarget((socket) => {
       socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\n\r\nperhaps half"));
     });
@@ -293,7 +296,7 @@
     assert.equal(answer.headers["hemlockwalk-run"], "unknown");
   });
 
-  test.it("keep HEAD, 204, 304, early hints and trailers as they are", async (context) => {
+  test.it("to HEAD, with 204 or 304, early hints or trailers are preserved", async (context) => {
     const target = await harness.startTarget((request, response) => {
       if (request.method === "HEAD") {
         response.writeHead(200, { "content-length": "12" }).end();
@@ -322,7 +325,7 @@
     assert.deepEqual([trailed.body, { ...trailed.trailers }], ["body", { digest: "abc" }]);
   });
 
-  test.it("stream both ways under back-pressure, and the caller's cancel arrives", async (context) => {
+  test.it("stream both ways with back-pressure until the caller disconnects", async (context) => {
     let received = 0;
     let cancelled = false;
     const sockets: net.Socket[] = [];
@@ -337,7 +340,7 @@
       request.on("end", () => {
         const write = () => {
           while (!response.destroyed && response.write(Buffer.alloc(65_536))) {
-            // Until the connection takes no more.
+            // Writes until the connection applies back-pressure.
           }
         };
         response.on("drain", write);
--- a/packages/gateway/test/certificates.ts
+++ b/packages/gateway/test/certificates.ts
@@ -1,5 +1,5 @@
 /**
- * Two certificates with their keys, made for these tests alone and used nowhere else.
+ * Two self-signed certificates with their keys, used only by these tests.
  */
 
 /** A certificate and its key, in PEM. */
--- a/packages/gateway/test/connections_test.ts
+++ b/packages/gateway/test/connections_test.ts
@@ -1,5 +1,5 @@
 /**
- * Which connection a request goes onto, and how many there are.
+ * The choice of a connection for a request, and the connection limit.
  */
 
 import assert from "node:assert/strict";
@@ -11,16 +11,16 @@
 
 const ANSWER = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-const alive = { signal: new AbortController().signal };
+const notAborted = { signal: new AbortController().signal };
 
 interface SilentTarget {
   readonly server: harness.TestServer;
   readonly sockets: net.Socket[];
-  /** Requests by connection, in the order of their arrival. */
+  /** The connection and method of each request, in the order of arrival. */
   readonly requests: [connection: number, method: string][];
 }
 
-/** A target whose connections fall silent after their first answer, as behind a lost path. */
+/** Starts a target whose connections stop responding after the first response, as if half-open. */
 async function startSilentTarget(): Promise<SilentTarget> {
   const sockets: net.Socket[] = [];
   const requests: [number, string][] = [];
@@ -39,7 +39,7 @@
 }
 
 test.describe("connections to targets", () => {
-  test.it("use for a write only what is proven alive, and nothing beyond the bound", () => {
+  test.it("carry writes only if recently active, and expire when idle", () => {
     const clock = new kernelTesting.TestClock();
     const events: connections.ConnectionEvent[] = [];
     const pool = new connections.TargetConnections(
@@ -48,21 +48,25 @@
       (event) => events.push(event),
     );
     const take = (idempotent: boolean) =>
-      pool.acquire(idempotent, alive) as connections.TargetConnection;
+      pool.acquire(idempotent, notAborted) as connections.TargetConnection;
     try {
       const first = take(true);
       pool.release(first, true);
-      assert.equal(take(false), first, "A connection that was just used is proven.");
+      assert.equal(take(false), first, "A connection that was just used is recently active.");
       pool.release(first, true);
       void clock.advance(1_000, 1_000);
       const fresh = take(false);
       assert.notEqual(fresh, first);
-      assert.equal(take(true), first, "A read may use an older one.");
+      assert.equal(take(true), first, "An idempotent request may use an older connection.");
       pool.releaseUnused(first);
-      assert.notEqual(take(false), first, "An unused connection is not proven.");
+      assert.notEqual(
+        take(false),
+        first,
+        "A connection that was released unused is not recently active.",
+      );
       pool.release(fresh, false);
       void clock.advance(10_000, 10_000);
-      // The timers of a process that was paused have not closed the connection.
+      // In a process that was paused, the idle timer has not closed the connection yet.
       const latest = take(true);
       assert.notEqual(latest, first);
       assert.equal(events.filter((event) => event === "passed_over").length, 3);
@@ -72,13 +76,13 @@
     }
   });
 
-  test.it("stay within the limit; requests wait for one in turn", async () => {
+  test.it("stay within the limit, and requests wait for one in order", async () => {
     const pool = new connections.TargetConnections("127.0.0.1:1", () => 1, () => {});
-    const first = await pool.acquire(true, alive);
+    const first = await pool.acquire(true, notAborted);
     assert.ok(first !== undefined);
     const gone = new AbortController();
     const cancelled = pool.acquire(true, gone);
-    const second = pool.acquire(false, alive);
+    const second = pool.acquire(false, notAborted);
     gone.abort();
     assert.equal(await cancelled, undefined);
     assert.equal(pool.size, 1);
@@ -91,31 +95,31 @@
     assert.equal(pool.size, 0);
   });
 
-  test.it("that went silent take no write, and a read leaves them in time", async (context) => {
+  test.it("that stop responding get no write, and reads time out early", async (context) => {
     const silent = await startSilentTarget();
-    const good = await harness.startTarget((_request, response) => response.end("ok"));
+    const responsive = await harness.startTarget((_request, response) => response.end("ok"));
     const declaration = { targets: [silent.server.address] };
     const vm = await harness.startVm(declaration);
     context.after(async () => {
       await vm.services.stop();
       await silent.server.stop();
-      await good.stop();
+      await responsive.stop();
     });
     assert.equal((await harness.call(vm.port)).body, "ok");
-    // Longer than a connection counts as proven.
+    // Longer than a connection counts as recently active.
     await new Promise((resolve) => setTimeout(resolve, 600));
     assert.equal((await harness.call(vm.port, { method: "POST" })).body, "ok");
     assert.deepEqual(silent.requests, [[0, "GET"], [1, "POST"]]);
     vm.configuration.publish({
-      targets: [silent.server.address, good.address],
+      targets: [silent.server.address, responsive.address],
       route: { timeoutMilliseconds: 400 },
     });
-    // At most one of two reads goes to the silent target; both are answered.
+    // At most one of the two requests goes to the silent target; both are answered.
     assert.equal((await harness.call(vm.port)).body, "ok");
     assert.equal((await harness.call(vm.port)).body, "ok");
   });
 
-  test.it("to a target that left are closed", async (context) => {
+  test.it("to a removed target are closed", async (context) => {
     const closed: Promise<unknown>[] = [];
     const target = await harness.startRawTarget((socket) => {
       closed.push(new Promise((resolve) => socket.once("close", resolve)));
--- a/packages/gateway/test/drain_test.ts
+++ b/packages/gateway/test/drain_test.ts
@@ -1,5 +1,5 @@
 /**
- * A graceful stop cuts no request.
+ * A graceful stop completes all requests.
  */
 
 import assert from "node:assert/strict";
@@ -9,7 +9,7 @@
 import * as harness from "./harness.ts";
 
 test.describe("drain", () => {
-  test.it("serves on while the balancer lags, ends streams, then closes", async (context) => {
+  test.it("serves while the balancer lags, completes streams, then closes", async (context) => {
     const open: http.ServerResponse[] = [];
     const target = await harness.startTarget((request, response) => {
       if (request.url === "/fines/stream") {
@@ -40,7 +40,7 @@
     const kept = await harness.call(vm.port, { agent });
     assert.deepEqual([kept.body, kept.headers.connection], ["done", "close"]);
     await harness.waitFor(async () => await harness.call(vm.port).then(() => false, () => true));
-    // Longer than connections without a request are waited for.
+    // Longer than the gateway waits for connections without a request.
     await new Promise((resolve) => setTimeout(resolve, 2_200));
     assert.equal(stopped, false);
     open[0]?.end(" ended");
@@ -48,7 +48,7 @@
     await stop;
   });
 
-  test.it("does not wait for answers behind others on a broken connection", async (context) => {
+  test.it("does not wait for queued responses on a closed connection", async (context) => {
     let begun = 0;
     let cancelled = 0;
     const target = await harness.startTarget((_request, response) => {
@@ -68,13 +68,13 @@
     await vm.services.stop();
   });
 
-  test.it("loses none of the requests that come during the stop", async (context) => {
+  test.it("loses none of the requests that arrive during the stop", async (context) => {
     const target = await harness.startTarget((_request, response) => {
       setTimeout(() => response.end("done"), 10);
     });
     const vm = await harness.startVm({
       targets: [target.address],
-      // Longer than the callers below go on, however slow the machine is.
+      // Must exceed the time that the callers below need, even on a slow machine.
       listener: { drainLagMilliseconds: 2_000 },
     });
     context.after(() => target.stop());
@@ -83,7 +83,7 @@
     let draining = false;
     let served = 0;
     const callers = Array.from({ length: 4 }, async () => {
-      // Callers go on until the balancer would have stopped to send them here.
+      // Callers continue until the balancer would have stopped sending them to this VM.
       while (!draining) {
         assert.equal((await harness.call(vm.port, { agent })).body, "done");
         served++;
--- a/packages/gateway/test/harness.ts
+++ b/packages/gateway/test/harness.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway between real sockets, with small fakes of the services that it uses.
+ * Runs a gateway on real sockets, with fakes of some of the services that it uses.
  */
 
 import * as http from "node:http";
@@ -23,7 +23,7 @@
 
 const SERVICE = model.createServiceId("inspection");
 
-/** What a test declares. */
+/** The configuration and settings of a test. */
 export interface Declaration {
   readonly targets: readonly string[];
   readonly route?: Partial<model.Route>;
@@ -34,7 +34,7 @@
   readonly claimStore?: claims.ClaimStore;
 }
 
-/** A configuration that a test replaces at will. */
+/** A configuration that a test can replace. */
 export class FakeConfiguration extends configurationTesting.SettableConfiguration {
   #keys: Readonly<Record<string, string>> = {};
 
@@ -100,7 +100,7 @@
   });
 }
 
-/** A limiter that admits everything, or as the test says. */
+/** A rate limiter that admits all requests unless the test replaces `decide`. */
 export class FakeLimiter implements limits.RateLimiter {
   decide: () => limits.RateDecision | Promise<limits.RateDecision> = () => neverthrow.ok();
 
@@ -109,17 +109,17 @@
   }
 }
 
-/** One VM of a test. */
+/** A VM under test. */
 export interface TestVm {
   readonly services: kernel.Kernel;
   readonly configuration: FakeConfiguration;
   readonly limiter: FakeLimiter;
   readonly port: number;
-  /** The value of a counter with the given labels. */
+  /** The sum of a metric's values with the given labels. */
   getCount(name: string, labels?: Readonly<Record<string, string>>): Promise<number>;
 }
 
-/** Starts a gateway in front of the given targets. */
+/** Starts a gateway with the given declaration. */
 export async function startVm(declaration: Declaration): Promise<TestVm> {
   const services = new kernel.Kernel();
   const metrics = services.register(kernel.METRICS, new kernel.Metrics());
@@ -176,7 +176,7 @@
   return settings._unsafeUnwrap().listener;
 }
 
-/** A server of a test, on loopback. */
+/** A test server on loopback. */
 export interface TestServer {
   readonly address: string;
   stop(): Promise<void>;
@@ -201,27 +201,27 @@
   };
 }
 
-/** Starts a target that speaks HTTP. */
+/** Starts an HTTP target. */
 export function startTarget(handler: http.RequestListener): Promise<TestServer> {
   return listen(http.createServer({ keepAliveTimeout: 0 }, handler));
 }
 
-/** Starts a target whose bytes the test writes itself. */
+/** Starts a target on raw sockets, to which the test writes the responses itself. */
 export function startRawTarget(onSocket: (socket: net.Socket) => void): Promise<TestServer> {
   return listen(net.createServer(onSocket));
 }
 
-/** What came back on a raw connection. */
+/** The data received on a raw connection. */
 export interface RawAnswer {
   readonly text: string;
-  /** Whether the connection was reset rather than closed. */
+  /** Whether the connection failed, for example by a reset, instead of closing. */
   readonly reset: boolean;
 }
 
 /**
- * Sends bytes and reads until the connection ends, or until the answer satisfies `until`.
+ * Sends bytes and reads until the connection ends or the received text satisfies `until`.
  *
- * @param halfClose Whether the caller ends its side after the last byte.
+ * @param halfClose Whether to end the sending side after the last byte.
  */
 export function sendRaw(
   port: number,
@@ -257,7 +257,7 @@
   });
 }
 
-/** A complete answer to a caller. */
+/** A complete response to a caller. */
 export interface CallerResult {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
@@ -265,7 +265,7 @@
   readonly body: string;
 }
 
-/** What a caller sends. */
+/** The parts of a caller's request that differ from the default. */
 export interface CallerRequest {
   readonly method?: string;
   readonly path?: string;
@@ -275,7 +275,7 @@
   readonly agent?: http.Agent;
 }
 
-/** Sends a request and reads the whole answer; rejects when it is cut. */
+/** Sends a request and reads the complete response; rejects if it is truncated. */
 export function call(port: number, options: CallerRequest = {}): Promise<CallerResult> {
   return new Promise((resolve, reject) => {
     const request = http.request({
--- a/packages/gateway/test/idempotency_test.ts
+++ b/packages/gateway/test/idempotency_test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests with an `Idempotency-Key`, over a small fake of the claim store.
+ * Requests with an `Idempotency-Key`, with a fake claim store.
  */
 
 import assert from "node:assert/strict";
@@ -17,7 +17,7 @@
   answer: claims.StoredAnswer | undefined;
 }
 
-/** Claims of one VM, kept for ever. */
+/** An in-memory claim store that never expires claims. */
 class FakeClaimStore implements claims.ClaimStore {
   readonly entries = new Map<string, Entry>();
   available = true;
@@ -115,7 +115,7 @@
 }
 
 test.describe("idempotency keys", () => {
-  test.it("give a repeat the stored answer without a second run", async (context) => {
+  test.it("return the stored response to a repeat without a second run", async (context) => {
     const fixture = await startFixture(context);
     const first = await fixture.send("/fines");
     const second = await fixture.send("/fines");
@@ -131,7 +131,7 @@
     assert.equal(other.headers["hemlockwalk-run"], "no");
   });
 
-  test.it("refuse a repeat while the first runs, and once its answer is not known", async (context) => {
+  test.it("refuse a repeat while the first runs or if its response is unknown", async (context) => {
     const fixture = await startFixture(context);
     const first = fixture.send("/fines/wait");
     await harness.waitFor(() => fixture.open.length === 1);
@@ -151,7 +151,7 @@
     assert.equal(fixture.getRuns(), 3);
   });
 
-  test.it("are free again when the request provably did not run", async (context) => {
+  test.it("can be claimed again if the request provably did not run", async (context) => {
     const fixture = await startFixture(context);
     const declaration = { targets: [await kernelTesting.claimDeadAddress()] };
     fixture.vm.configuration.publish(declaration);
@@ -160,7 +160,7 @@
     assert.equal(fixture.store.entries.get("antwerp/one")?.settled, "abandoned");
   });
 
-  test.it("are refused as not run without a majority or a whole body", async (context) => {
+  test.it("are refused as not run without a majority or a complete body", async (context) => {
     const fixture = await startFixture(context);
     const large = await fixture.send("/fines", "x".repeat(70_000));
     assert.equal(harness.getReason(large), "idempotency_body_too_large");
@@ -175,7 +175,7 @@
     assert.equal(fixture.getRuns(), 0);
   });
 
-  test.it("that are ended while they run leave an unknown outcome", async (context) => {
+  test.it("of requests that are ended while they run have an unknown outcome", async (context) => {
     const fixture = await startFixture(context);
     void harness.sendRaw(fixture.vm.port, [
       `POST /fines/wait HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer ${harness.KEY}\r\n` +
--- a/packages/gateway/test/keys_test.ts
+++ b/packages/gateway/test/keys_test.ts
@@ -1,5 +1,5 @@
 /**
- * Keys on their way through: none reaches a target, whatever mix of places carries it.
+ * No key reaches a target, whatever combination of places in a request contains it.
  */
 
 import assert from "node:assert/strict";
@@ -9,7 +9,7 @@
 
 const SEED = 20_260_301;
 
-/** Every place in which the key may stand; each gives header lines or parts of the query. */
+/** A place in a request that contains the key: header lines or a part of the query. */
 interface Placement {
   readonly header?: string;
   readonly query?: string;
@@ -50,7 +50,7 @@
 }
 
 test.describe("keys", () => {
-  test.it("shows no target any key, whatever mix of places carries it", async (context) => {
+  test.it("never reach a target, whatever combination of places contains them", async (context) => {
     const seen: string[] = [];
     const target = await harness.startTarget((request, response) => {
       request.resume();
@@ -97,10 +97,10 @@
       ),
       { seed: SEED, numRuns: 300 },
     );
-    assert.ok(served > 100, `Only ${served} mixes were served.`);
+    assert.ok(served > 100, `Only ${served} combinations were served.`);
   });
 
-  test.it("replaces identity headers and keeps the rest of query and cookies", async (context) => {
+  test.it("are removed from query and cookies; identity headers are replaced", async (context) => {
     let seen: Record<string, unknown> = {};
     let url: string | undefined;
     const target = await harness.startTarget((request, response) => {
--- a/packages/gateway/test/operators_pages_test.ts
+++ b/packages/gateway/test/operators_pages_test.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' pages list exactly what the code has.
+ * The operators' pages match the refusals, metrics and retry reasons in the code.
  */
 
 import assert from "node:assert/strict";
--- a/packages/gateway/test/requests_test.ts
+++ b/packages/gateway/test/requests_test.ts
@@ -1,5 +1,5 @@
 /**
- * What is refused before any target is involved.
+ * Requests that are refused before they reach a target.
  */
 
 import assert from "node:assert/strict";
@@ -12,7 +12,7 @@
 
 const HEAD = `Host: city.example\r\nAuthorization: Bearer ${harness.KEY}\r\n`;
 
-/** Requests that two parsers could read in two ways, and the reason of their refusal. */
+/** Malformed or ambiguous requests, with the reason of their refusal. */
 const REFUSED: readonly (readonly [name: string, request: string, reason: string])[] = [
   [
     "length and chunks",
@@ -130,10 +130,10 @@
 ];
 
 test.describe("request checks", () => {
-  test.it("refuses what could be read in two ways, without a run", async (context) => {
+  test.it("refuses malformed and ambiguous requests without running them", async (context) => {
     let runs = 0;
     const target = await harness.startTarget((request, response) => {
-      // A large body in chunks begins to be streamed before it is found too large.
+      // Streaming of a large chunked body begins before the gateway detects that it is too large.
       request.on("end", () => runs++);
       request.resume();
       response.end();
@@ -160,7 +160,7 @@
     assert.equal(runs, 0);
   });
 
-  test.it("routes by the path that the target sees and forwards it as it came", async (context) => {
+  test.it("routes by the path that the target sees and forwards it unchanged", async (context) => {
     const seen: (string | undefined)[] = [];
     const target = await harness.startTarget((request, response) => {
       seen.push(request.url);
@@ -179,7 +179,7 @@
     assert.equal((await harness.call(vm.port, { path: "/%46ines" })).status, 404);
   });
 
-  test.it("lets no request through within the body of another", async (context) => {
+  test.it("forwards no request that is smuggled in the body of another", async (context) => {
     const seen: (string | undefined)[] = [];
     const target = await harness.startTarget((request, response) => {
       seen.push(request.url);
@@ -228,10 +228,10 @@
           const request = `${method} /fines/outer HTTP/1.1\r\n${HEAD}${
             lines.map((line) => `${line}\r\n`).join("")
           }\r\n${body}`;
-          // The last request ends the connection, unless something before it did.
+          // The last request ends the connection if no earlier refusal has.
           const last = `GET /fines/last HTTP/1.1\r\n${HEAD}Connection: close\r\n\r\n`;
           await harness.sendRaw(vm.port, [request, last], () => false, true);
-          // A request on the same target connections shows what is left on them.
+          // A further request on the same target connections would expose bytes left on them.
           await harness.call(vm.port, { path: "/fines/next" });
           const paths = seen.splice(0);
           assert.deepEqual(paths.filter((path) => path === "/fines/inner"), []);
@@ -241,7 +241,7 @@
       ),
       { seed: SEED, numRuns: 300 },
     );
-    assert.ok(outer > 30, `${outer} were forwarded.`);
+    assert.ok(outer > 30, `Only ${outer} outer requests were forwarded.`);
   });
 
   test.it("refuses slow senders of headers and bodies", async (context) => {
@@ -260,7 +260,7 @@
     assert.match(slowBody.text, /^HTTP\/1.1 408 .*request_too_slow.*"run":"no"/s);
   });
 
-  test.it("answers what came before something unreadable", async (context) => {
+  test.it("answers the requests that precede unparsable input", async (context) => {
     const target = await harness.startTarget((_request, response) => {
       setTimeout(() => response.end("first"), 20);
     });
--- a/packages/gateway/test/retries_test.ts
+++ b/packages/gateway/test/retries_test.ts
@@ -1,5 +1,5 @@
 /**
- * Which requests are sent again, and what the caller is told of those that are not.
+ * Which requests are retried, and how the others are refused.
  */
 
 import assert from "node:assert/strict";
@@ -19,29 +19,29 @@
   declaration: Partial<harness.Declaration> = {},
 ): Promise<Fixture> {
   const runs: string[] = [];
-  const bad = first === "dead" ? undefined : await harness.startTarget((request, response) => {
+  const failing = first === "dead" ? undefined : await harness.startTarget((request, response) => {
     request.resume();
     request.on("end", () => {
-      runs.push("bad");
+      runs.push("failing");
       first(request, response);
     });
   });
-  const good = await harness.startTarget((request, response) => {
+  const healthy = await harness.startTarget((request, response) => {
     const chunks: Buffer[] = [];
     request.on("data", (chunk: Buffer) => chunks.push(chunk));
     request.on("end", () => {
-      runs.push("good");
-      response.end(`good ${Buffer.concat(chunks).toString()}`);
+      runs.push("healthy");
+      response.end(`healthy ${Buffer.concat(chunks).toString()}`);
     });
   });
   const vm = await harness.startVm({
-    targets: [bad?.address ?? await kernelTesting.claimDeadAddress(), good.address],
+    targets: [failing?.address ?? await kernelTesting.claimDeadAddress(), healthy.address],
     ...declaration,
   });
   context.after(async () => {
     await vm.services.stop();
-    await bad?.stop();
-    await good.stop();
+    await failing?.stop();
+    await healthy.stop();
   });
   return { vm, runs };
 }
@@ -49,27 +49,27 @@
 const reset: http.RequestListener = (request) => request.socket.resetAndDestroy();
 
 test.describe("retries", () => {
-  test.it("sends a write elsewhere when no connection opened", async (context) => {
+  test.it("retries a write on another target if no connection opened", async (context) => {
     const { vm, runs } = await startFixture(context, "dead");
     const answer = await harness.call(vm.port, { method: "POST", body: "fine" });
-    assert.equal(answer.body, "good fine");
-    assert.deepEqual(runs, ["good"]);
+    assert.equal(answer.body, "healthy fine");
+    assert.deepEqual(runs, ["healthy"]);
     assert.equal(await vm.getCount("hemlockwalk_retries_total", { reason: "connect_failed" }), 1);
   });
 
-  test.it("sends a write that may have run only once, and says unknown", async (context) => {
+  test.it("does not retry a write that may have run; reports it as unknown", async (context) => {
     const { vm, runs } = await startFixture(context, reset);
     const answer = await harness.call(vm.port, { method: "POST", body: "fine" });
     assert.equal(answer.status, 502);
     assert.equal(answer.headers["hemlockwalk-run"], "unknown");
-    assert.deepEqual(runs, ["bad"]);
+    assert.deepEqual(runs, ["failing"]);
     assert.equal(
       await vm.getCount("hemlockwalk_not_retried_total", { reason: "may_have_run" }),
       1,
     );
   });
 
-  test.it("sends a read again after a reset, a passing error and silence", async (context) => {
+  test.it("retries a read after a reset, a transient error and a timeout", async (context) => {
     const endings: http.RequestListener[] = [
       reset,
       (_request, response) => response.writeHead(503).end(),
@@ -80,12 +80,12 @@
         route: { timeoutMilliseconds: 400 },
       });
       const answer = await harness.call(vm.port);
-      assert.equal(answer.body, "good ");
-      assert.deepEqual(runs, ["bad", "good"]);
+      assert.equal(answer.body, "healthy ");
+      assert.deepEqual(runs, ["failing", "healthy"]);
     }
   });
 
-  test.it("passes the error on when no other target is left", async (context) => {
+  test.it("passes an error response on if no other target is left", async (context) => {
     const target = await harness.startTarget((_request, response) => {
       response.writeHead(503).end("busy");
     });
@@ -98,26 +98,26 @@
     assert.deepEqual([answer.status, answer.body], [503, "busy"]);
   });
 
-  test.it("sends a write elsewhere when the target says that it did not run it", async (context) => {
+  test.it("retries a write on another target after a not-run signal", async (context) => {
     const { vm, runs } = await startFixture(context, (_request, response) => {
       response.writeHead(503, { "not-run": "shed" }).end();
     }, { service: { notRunSignal: { status: 503, header: "not-run", value: "shed" } } });
     const answer = await harness.call(vm.port, { method: "POST", body: "fine" });
-    assert.equal(answer.body, "good fine");
-    assert.deepEqual(runs, ["bad", "good"]);
+    assert.equal(answer.body, "healthy fine");
+    assert.deepEqual(runs, ["failing", "healthy"]);
     const again = await harness.call(vm.port, { method: "POST" });
     assert.equal(again.status, 200);
   });
 
-  test.it("takes no half signal for a whole one", async (context) => {
+  test.it("does not accept a partial match as a not-run signal", async (context) => {
     const { vm, runs } = await startFixture(context, (_request, response) => {
       response.writeHead(503, { "not-run": "other" }).end("mine");
     }, { service: { notRunSignal: { status: 503, header: "not-run", value: "shed" } } });
     const answer = await harness.call(vm.port, { method: "POST" });
-    assert.deepEqual([answer.status, answer.body, runs], [503, "mine", ["bad"]]);
+    assert.deepEqual([answer.status, answer.body, runs], [503, "mine", ["failing"]]);
   });
 
-  test.it("does not send again once a part of a long body is gone", async (context) => {
+  test.it("does not retry once part of a long body has been streamed", async (context) => {
     const { vm, runs } = await startFixture(context, reset, {
       route: { idempotentMethods: ["PUT"] },
     });
@@ -126,14 +126,14 @@
       body: Buffer.alloc(300_000, "a"),
     });
     assert.equal(answer.headers["hemlockwalk-run"], "unknown");
-    assert.deepEqual(runs, ["bad"]);
+    assert.deepEqual(runs, ["failing"]);
     assert.equal(
       await vm.getCount("hemlockwalk_not_retried_total", { reason: "body_not_replayable" }),
       1,
     );
   });
 
-  test.it("does not multiply an outage", async (context) => {
+  test.it("limits retries during an outage", async (context) => {
     const dead = [await kernelTesting.claimDeadAddress(), await kernelTesting.claimDeadAddress()];
     const vm = await harness.startVm({ targets: dead });
     context.after(() => vm.services.stop());
@@ -150,13 +150,13 @@
     );
   });
 
-  test.it("says unknown when a write reached its deadline on a target", async (context) => {
+  test.it("reports a write that reached its deadline on a target as unknown", async (context) => {
     const { vm, runs } = await startFixture(context, () => {}, {
       route: { timeoutMilliseconds: 100 },
     });
     const answer = await harness.call(vm.port, { method: "POST" });
     assert.deepEqual([answer.status, answer.headers["hemlockwalk-run"]], [504, "unknown"]);
     assert.equal(harness.getReason(answer), "deadline_exceeded");
-    assert.deepEqual(runs, ["bad"]);
+    assert.deepEqual(runs, ["failing"]);
   });
 });
--- a/packages/gateway/test/runs_test.ts
+++ b/packages/gateway/test/runs_test.ts
@@ -1,5 +1,6 @@
 /**
- * What is said about runs is true, and no request that may not run twice does, whatever targets do.
+ * Whatever targets do, a request that must not run twice runs at most once, and the gateway never
+ * reports a request as not run that has run.
  */
 
 import assert from "node:assert/strict";
@@ -15,7 +16,7 @@
 
 const SIGNAL = { status: 503, header: "not-run", value: "shed" };
 
-/** What a target does with one arrival of a request. */
+/** How a target handles one attempt of a request. */
 const ACTIONS = [
   "answer",
   "reset unread",
@@ -29,7 +30,7 @@
 
 type Action = typeof ACTIONS[number];
 
-/** A request with what its targets do at its first, second and third arrival. */
+/** A request, and how targets handle its first, second and third attempt. */
 interface Plan {
   readonly method: "GET" | "POST";
   readonly bodyBytes: number;
@@ -42,7 +43,11 @@
   runs: number[];
 }
 
-function act(oracle: Oracle, request: http.IncomingMessage, response: http.ServerResponse): void {
+function handleAttempt(
+  oracle: Oracle,
+  request: http.IncomingMessage,
+  response: http.ServerResponse,
+): void {
   const index = Number(request.url?.split("/")[2]);
   const arrival = oracle.arrivals[index] ?? 0;
   oracle.arrivals[index] = arrival + 1;
@@ -88,22 +93,22 @@
 function check(oracle: Oracle, index: number, result: harness.CallerResult | undefined): void {
   const plan = oracle.plans[index];
   const runs = oracle.runs[index] ?? 0;
-  const story = JSON.stringify({ plan, runs, result });
+  const details = JSON.stringify({ plan, runs, result });
   if (plan?.method === "POST") {
-    assert.ok(runs <= 1, story);
+    assert.ok(runs <= 1, details);
   }
   if (result === undefined) {
-    assert.ok(runs >= 1, story);
+    assert.ok(runs >= 1, details);
     return;
   }
-  const said = result.headers["hemlockwalk-run"];
-  if (said === undefined) {
-    assert.equal(result.body, `answer ${index}.`, story);
-    assert.ok(runs >= 1, story);
+  const reportedRun = result.headers["hemlockwalk-run"];
+  if (reportedRun === undefined) {
+    assert.equal(result.body, `answer ${index}.`, details);
+    assert.ok(runs >= 1, details);
     return;
   }
-  // The oracle may count a run that was still on its way when the answer was made; `no` rules it out.
-  assert.ok(said === "unknown" || runs === 0, story);
+  // The oracle may count a run that began after an `unknown` response was sent, but not after `no`.
+  assert.ok(reportedRun === "unknown" || runs === 0, details);
 }
 
 const plan: fc.Arbitrary<Plan> = fc.record({
@@ -113,12 +118,12 @@
 });
 
 test.describe("runs", () => {
-  test.it("happen at most once and are told truthfully", async (context) => {
+  test.it("happen at most once and are reported correctly", async (context) => {
     const oracle: Oracle = { plans: [], arrivals: [], runs: [] };
     const servers = await Promise.all(
       Array.from(
         { length: 3 },
-        () => harness.startTarget((request, response) => act(oracle, request, response)),
+        () => harness.startTarget((request, response) => handleAttempt(oracle, request, response)),
       ),
     );
     const dead = await kernelTesting.claimDeadAddress();
@@ -156,7 +161,7 @@
       { seed: SEED, numRuns: 80 },
     );
     await harness.waitFor(async () => await vm.getCount("hemlockwalk_running_requests") === 0);
-    assert.ok(refused > 5, `${refused} were refused as not run.`);
+    assert.ok(refused > 5, `Only ${refused} requests were refused as not run.`);
     assert.ok(await vm.getCount("hemlockwalk_retries_total") > 20);
   });
 });
--- a/packages/gateway/test/tls_test.ts
+++ b/packages/gateway/test/tls_test.ts
@@ -1,5 +1,5 @@
 /**
- * The TLS listener takes new files without dropping connections, and keeps the old ones over wrong ones.
+ * The TLS listener reloads changed files without closing connections and ignores invalid files.
  */
 
 import assert from "node:assert/strict";
@@ -12,12 +12,12 @@
 import * as certificates from "./certificates.ts";
 import * as harness from "./harness.ts";
 
-interface Seen {
+interface SecureAnswer {
   readonly status: number | undefined;
   readonly subject: string | undefined;
 }
 
-function callSecurely(port: number, agent: https.Agent): Promise<Seen> {
+function callSecurely(port: number, agent: https.Agent): Promise<SecureAnswer> {
   return new Promise((resolve, reject) => {
     const request = https.get({
       port,
@@ -36,7 +36,7 @@
 }
 
 test.describe("TLS listener", () => {
-  test.it("takes new files for new connections and refuses wrong ones", async (context) => {
+  test.it("uses changed files for new connections and ignores invalid ones", async (context) => {
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hemlockwalk-tls-"));
     const certificateFile = path.join(folder, "certificate.pem");
     const keyFile = path.join(folder, "key.pem");
@@ -61,14 +61,14 @@
     const getReloads = (result: string) => vm.getCount("hemlockwalk_tls_reloads_total", { result });
 
     assert.deepEqual(await callSecurely(vm.port, kept), { status: 200, subject: "listener-1" });
-    // A certificate with another one's key.
+    // The key of a different certificate.
     write(certificates.SECOND.certificate, certificates.FIRST.key);
     await harness.waitFor(async () => await getReloads("refused") > 0);
     assert.deepEqual(await getFresh(), { status: 200, subject: "listener-1" });
     write(certificates.SECOND.certificate, certificates.SECOND.key);
     await harness.waitFor(async () => await getReloads("accepted") > 0);
     assert.deepEqual(await getFresh(), { status: 200, subject: "listener-2" });
-    // The connection that was open before goes on.
+    // The connection that was already open is not affected.
     assert.deepEqual(await callSecurely(vm.port, kept), { status: 200, subject: "listener-1" });
   });
 
--- a/packages/gateway/test/withdrawal_test.ts
+++ b/packages/gateway/test/withdrawal_test.ts
@@ -1,5 +1,5 @@
 /**
- * What a withdrawn key ends, and what it leaves alone.
+ * The withdrawal of a key ends its requests and connections, and no others.
  */
 
 import assert from "node:assert/strict";
@@ -12,7 +12,7 @@
   readonly vm: harness.TestVm;
   readonly declaration: harness.Declaration;
   readonly workspaces: (string | string[] | undefined)[];
-  /** Answers that the target has begun and not ended. */
+  /** Responses that the target has not ended. */
   readonly open: http.ServerResponse[];
 }
 
@@ -50,18 +50,18 @@
 const WITHOUT_KEY = { [harness.OTHER_KEY]: "ghent" };
 
 test.describe("key withdrawal", () => {
-  test.it("ends waiting requests and running streams, and no one else's", async (context) => {
+  test.it("ends waiting requests and running streams of that key only", async (context) => {
     const fixture = await startFixture(context);
     const { vm, open } = fixture;
     const waiting = harness.call(vm.port, { path: "/fines/wait" });
-    // Its connection may be cut before the other request has its answer.
+    // The connection may be reset before the other request has its response.
     const cut = assert.rejects(harness.call(vm.port, { path: "/fines/stream" }));
     const other = harness.call(vm.port, { path: "/fines/stream", key: harness.OTHER_KEY });
     await harness.waitFor(() => open.length === 3);
     publishKeys(fixture, WITHOUT_KEY);
     const refused = await waiting;
     assert.equal(harness.getReason(refused), "key_withdrawn");
-    // The target had the request, so nobody can say that it did not run.
+    // The target has received the request, so it may have run.
     assert.equal(refused.headers["hemlockwalk-run"], "unknown");
     await cut;
     open.forEach((response) => response.end(" ended"));
@@ -97,7 +97,7 @@
     await closed;
   });
 
-  test.it("lets another key's answer on a shared connection end first", async (context) => {
+  test.it("completes another key's response before closing the connection", async (context) => {
     const fixture = await startFixture(context);
     const { vm, open } = fixture;
     const getHead = (path: string, key: string) =>
@@ -109,12 +109,12 @@
     await harness.waitFor(() => open.length === 1);
     publishKeys(fixture, WITHOUT_KEY);
     open[0]?.end(" ended");
-    // The end of the connection is what `sendRaw` waits for.
+    // `sendRaw` resolves when the connection ends.
     const { text } = await answer;
     assert.match(text, /done.*begun.*ended\r\n0\r\n\r\n$/s);
   });
 
-  test.it("never serves the old workspace while the rate is being decided", async (context) => {
+  test.it("refuses a request whose key moved while it waited for a token", async (context) => {
     const fixture = await startFixture(context);
     let admit: (() => void) | undefined;
     fixture.vm.limiter.decide = () =>
