--- a/packages/daemon/bin/hemlockwalk.mjs
+++ b/packages/daemon/bin/hemlockwalk.mjs
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * Starts the binary `hemlockwalk`. It stands beside the compiled program, since npm links only what exists
- * when it installs.
+ * The `hemlockwalk` executable. It is not compiled, since npm links only files that exist when it
+ * installs.
  */
 
 import "../dist/src/main.js";
--- a/packages/daemon/src/administration.ts
+++ b/packages/daemon/src/administration.ts
@@ -1,5 +1,5 @@
 /**
- * The admin listener: health, readiness, metrics, and what is in force on this VM.
+ * The admin listener: serves health, readiness, metrics and the status of this VM.
  */
 
 import * as http from "node:http";
@@ -9,7 +9,7 @@
 import * as kernel from "@hemlockwalk/kernel";
 import * as model from "@hemlockwalk/model";
 
-/** Answers operators and the platform's balancer. */
+/** Serves the admin endpoints to operators and the platform's balancer. */
 export class Administration implements kernel.Service {
   readonly #services: kernel.Kernel;
   readonly #address: string;
@@ -20,7 +20,7 @@
     this.#address = address;
     this.#server = http.createServer((request, response) => {
       void this.#answer(request, response).catch((error: Error) => {
-        // Operators see what is wrong; a failing page must not end the VM.
+        // Reports the error to the operator. A failing endpoint must not end the process.
         if (response.headersSent) {
           response.destroy();
           return;
@@ -36,13 +36,13 @@
   }
 
   async start(): Promise<void> {
-    const place = kernel.getDefined(
+    const socketAddress = kernel.getDefined(
       model.splitSocketAddress(this.#address),
-      "Settings hold checked addresses.",
+      "Addresses in settings have been validated.",
     );
     await new Promise<void>((resolve, reject) => {
       this.#server.once("error", reject);
-      this.#server.listen(place.port, place.host, resolve);
+      this.#server.listen(socketAddress.port, socketAddress.host, resolve);
     });
   }
 
@@ -109,5 +109,5 @@
   response.end(JSON.stringify(body));
 }
 
-/** The name under which the admin listener is found. */
+/** The name under which the admin listener is registered in the kernel. */
 export const ADMINISTRATION = kernel.createServiceName<Administration>("administration");
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The binary `hemlockwalk`: the daemon of one VM.
+ * The command-line entry point `hemlockwalk`: runs the daemon of one VM.
  */
 
 import * as fs from "node:fs";
@@ -12,7 +12,7 @@
 
 const VERSION = "0.1.0";
 
-/** Exit code for wrong settings. */
+/** Exit code for invalid settings. */
 const EXIT_INVALID = 2;
 
 const settingsArgument = {
@@ -54,11 +54,11 @@
     const daemonLogger = new kernel.PartLogger(logger, "daemon");
     const services = virtualMachine.createVirtualMachine(settings, logger);
     await services.start();
-    daemonLogger.info("The VM runs.", { listener: settings.listener.address });
+    daemonLogger.info("Daemon started.", { listener: settings.listener.address });
     const stop = () => {
-      daemonLogger.info("The VM stops.");
+      daemonLogger.info("Daemon stopping.");
       void services.stop().then(() => {
-        daemonLogger.info("The VM has stopped.");
+        daemonLogger.info("Daemon stopped.");
         process.exit(0);
       });
     };
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon as a library: the wiring of one VM.
+ * The daemon as a library: creates the services of one VM.
  */
 
 export * from "./administration.ts";
--- a/packages/daemon/src/virtual_machine.ts
+++ b/packages/daemon/src/virtual_machine.ts
@@ -1,5 +1,5 @@
 /**
- * Wires the services of one VM into a kernel.
+ * Creates the services of one VM and registers them in a kernel.
  */
 
 import * as claims from "@hemlockwalk/claims";
@@ -13,7 +13,7 @@
 import type bunyan from "bunyan";
 import * as administration from "./administration.ts";
 
-/** The parts that measurements replace by baselines or by parts that can be disturbed. */
+/** Factories that measurements replace, to run baselines or to inject faults. */
 export interface VirtualMachineParts {
   createPeerNetwork(
     self: fleet.VmIdentity,
@@ -28,7 +28,7 @@
   ): targets.TargetPool;
 }
 
-const STANDARD_PARTS: VirtualMachineParts = {
+const DEFAULT_FACTORIES: VirtualMachineParts = {
   createPeerNetwork: (self, options) => new fleet.WebSocketPeerNetwork(self, options),
   createRateLimiter: (services, logger) => limits.createRateLimiter(services, logger),
   createFairQueue: (services) => new limits.WeightedFairQueue(services.get(kernel.METRICS)),
@@ -39,14 +39,14 @@
 export function createVirtualMachine(
   settings: model.Settings,
   logger: bunyan,
-  replacedParts: Partial<VirtualMachineParts> = {},
+  replacedFactories: Partial<VirtualMachineParts> = {},
 ): kernel.Kernel {
-  const parts = { ...STANDARD_PARTS, ...replacedParts };
+  const factories = { ...DEFAULT_FACTORIES, ...replacedFactories };
   const createLogger = (part: string) => new kernel.PartLogger(logger, part);
   const services = new kernel.Kernel();
   services.register(kernel.METRICS, new kernel.Metrics());
   services.register(kernel.PAUSE_DETECTOR, new kernel.PauseDetector());
-  const network = registerPeerNetwork(services, settings, parts, createLogger("peers"));
+  const network = registerPeerNetwork(services, settings, factories, createLogger("peers"));
   configuration.registerConfiguration(
     services,
     new configuration.PlatformClient(settings.platform.addresses),
@@ -54,11 +54,14 @@
   );
   const membership = registerMembership(services, settings, network, createLogger("membership"));
   registerClaims(services, settings);
-  services.register(limits.RATE_LIMITER, parts.createRateLimiter(services, createLogger("limits")));
-  services.register(limits.FAIR_QUEUE, parts.createFairQueue(services));
+  services.register(
+    limits.RATE_LIMITER,
+    factories.createRateLimiter(services, createLogger("limits")),
+  );
+  services.register(limits.FAIR_QUEUE, factories.createFairQueue(services));
   services.register(
     targets.TARGET_POOL,
-    parts.createTargetPool(services, settings, createLogger("targets")),
+    factories.createTargetPool(services, settings, createLogger("targets")),
   );
   services.register(
     gateway.GATEWAY,
@@ -75,17 +78,17 @@
   return services;
 }
 
-/** Registers the links to other VMs; undefined when the settings name none. */
+/** Registers the peer network; returns undefined if the settings configure no peers. */
 function registerPeerNetwork(
   services: kernel.Kernel,
   settings: model.Settings,
-  parts: VirtualMachineParts,
+  factories: VirtualMachineParts,
   logger: kernel.PartLogger,
 ): fleet.WebSocketPeerNetwork | undefined {
   if (settings.peers === undefined) {
     return undefined;
   }
-  const network = parts.createPeerNetwork(createIdentity(settings), {
+  const network = factories.createPeerNetwork(createIdentity(settings), {
     address: settings.peers.address,
     secrets: new fleet.FilePeerSecrets(settings.peers.secretFile),
     counters: new fleet.PeerCounters(services.get(kernel.METRICS)),
@@ -121,7 +124,7 @@
   return membership;
 }
 
-/** Registers the store of claims; a VM without peers has none. */
+/** Registers the claim store, unless the VM has no peers. */
 function registerClaims(services: kernel.Kernel, settings: model.Settings): void {
   const network = services.find(fleet.PEER_NETWORK);
   if (network === undefined) {
--- a/packages/daemon/test/metrics_page_test.ts
+++ b/packages/daemon/test/metrics_page_test.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' pages name exactly the metrics that a VM with peers exports.
+ * The operators' pages list exactly the metrics that a VM with peers exports.
  */
 
 import assert from "node:assert/strict";
@@ -11,18 +11,18 @@
 
 const PAGES = new URL("../../../../docs/operators/", import.meta.url);
 
-/** The page of another program, which the tests of `proxy` check. */
+/** The page of a different program, which the tests of `proxy` check. */
 const PLATFORM_PAGE = "platform.md";
 const ROW = /^\| `(\w+)` +\| (\w+) +\|([^|]*)\|/gm;
 
-/** What the registry holds of a metric, of which its types tell only a part. */
+/** Fields of a registered metric, which the registry's own types only partly declare. */
 interface ExportedMetric {
   readonly name: string;
   readonly type: string;
   readonly labelNames: readonly string[];
 }
 
-function listExported(): string[] {
+function listExportedMetrics(): string[] {
   const settings = model.parseSettings(JSON.stringify({
     vm: "vm-1",
     dataCentre: "north-1",
@@ -49,15 +49,15 @@
       const names = [...(labels ?? "").matchAll(/`(\w+)`/g)].map((match) => match[1]);
       return `${name} ${type} ${names.sort().join(" ")}`;
     });
-    assert.deepEqual(listed.sort(), listExported().sort());
+    assert.deepEqual(listed.sort(), listExportedMetrics().sort());
   });
 
   test.it("name no metric that is not exported", () => {
-    const exported = listExported().map((entry) => entry.split(" ", 1)[0] ?? "");
+    const exported = listExportedMetrics().map((entry) => entry.split(" ", 1)[0] ?? "");
     for (const page of fs.readdirSync(PAGES).filter((name) => name !== PLATFORM_PAGE)) {
       const text = fs.readFileSync(new URL(page, PAGES), "utf8");
       for (const [name] of text.matchAll(/\bhemlockwalk_\w+/g)) {
-        // A page may speak of all metrics that begin alike.
+        // A page may refer to all metrics that share a prefix.
         const isKnown = name.endsWith("_")
           ? exported.some((other) => other.startsWith(name))
           : exported.includes(name);
--- a/packages/daemon/test/peers_test.ts
+++ b/packages/daemon/test/peers_test.ts
@@ -1,5 +1,6 @@
 /**
- * Three VMs over loopback: they find each other, one leaves, and claims wait after a cold start.
+ * Three VMs on loopback discover each other, refuse claims after a cold start, and drop a VM that
+ * stops.
  */
 
 import assert from "node:assert/strict";
@@ -59,7 +60,7 @@
 }
 
 test.describe("VMs with peers", () => {
-  test.it("find each other, drop one that stops, and claim nothing too early", async (context) => {
+  test.it("discover each other, refuse early claims, drop a stopped VM", async (context) => {
     const vms = await startFleet(context);
     await waitForMembers(vms, VMS);
     const [first, ...others] = vms;
--- a/packages/daemon/test/settings_test.ts
+++ b/packages/daemon/test/settings_test.ts
@@ -1,5 +1,5 @@
 /**
- * The binary's check of settings files, and the examples in the documentation.
+ * The `check-settings` command, on the documentation's examples and on an invalid file.
  */
 
 import assert from "node:assert/strict";
@@ -40,7 +40,7 @@
     }
   });
 
-  test.it("gives all findings at once with file, line and column", (context) => {
+  test.it("reports all findings at once with file, line and column", (context) => {
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hemlockwalk-settings-"));
     context.after(() => fs.rmSync(folder, { recursive: true }));
     const file = path.join(folder, "wrong.jsonc");
