--- a/packages/daemon/test/stop_test.ts
+++ b/packages/daemon/test/stop_test.ts
@@ -1,5 +1,5 @@
 /**
- * The binary under SIGTERM: not ready at once, no request cut, exit code 0.
+ * On SIGTERM, the daemon turns unready immediately, completes all requests and exits with code 0.
  */
 
 import assert from "node:assert/strict";
@@ -17,7 +17,7 @@
 
 const BINARY = url.fileURLToPath(new URL("../src/main.js", import.meta.url));
 
-function createNote(targetAddress: string): string {
+function createFirstNote(targetAddress: string): string {
   return JSON.stringify({
     format: 1,
     number: 1,
@@ -38,8 +38,8 @@
 
 async function waitForStatus(address: string, status: number): Promise<void> {
   for (;;) {
-    const seen = await fetch(address).then((answer) => answer.status, () => undefined);
-    if (seen === status) {
+    const received = await fetch(address).then((answer) => answer.status, () => undefined);
+    if (received === status) {
       return;
     }
     await kernel.sleep(10);
@@ -47,12 +47,12 @@
 }
 
 test.describe("SIGTERM", () => {
-  test.it("cuts no request, and the admin listener tells of it", async (context) => {
+  test.it("completes all requests, and the VM reports that it is not ready", async (context) => {
     const platform = new standins.PlatformStandin();
     const target = new standins.TargetStandin("permits-1");
     await platform.start();
     await target.start();
-    platform.publish(configuration.getNoteKey(1), createNote(target.address));
+    platform.publish(configuration.getNoteKey(1), createFirstNote(target.address));
     const [port, adminPort] = [await kernelTesting.claimPort(), await kernelTesting.claimPort()];
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hemlockwalk-stop-"));
     const file = path.join(folder, "settings.jsonc");
@@ -81,17 +81,17 @@
 
     target.delayMilliseconds = 1_000;
     const early = fetch(`http://127.0.0.1:${port}/pitches/1`);
-    while (target.seen.length === 0) {
+    while (target.received.length === 0) {
       await kernel.sleep(5);
     }
     daemon.kill("SIGTERM");
     await waitForStatus(ready, 503);
-    // The balancer has not noticed yet.
+    // The balancer may still send requests until it notices.
     const late = await fetch(`http://127.0.0.1:${port}/pitches/2`);
     assert.equal(late.headers.get("connection"), "close");
     assert.match(await late.text(), /ran GET \/pitches\/2/);
     assert.match(await (await early).text(), /ran GET \/pitches\/1/);
     assert.equal(await exit, 0);
-    assert.equal(target.seen.length, 2);
+    assert.equal(target.received.length, 2);
   });
 });
--- a/packages/daemon/test/whole_path_test.ts
+++ b/packages/daemon/test/whole_path_test.ts
@@ -1,5 +1,5 @@
 /**
- * The whole path in one process: release note in, requests through.
+ * End to end in one process: a release note is published, then requests are forwarded.
  */
 
 import assert from "node:assert/strict";
@@ -46,7 +46,7 @@
   return settings._unsafeUnwrap();
 }
 
-test.describe("whole path", () => {
+test.describe("end to end", () => {
   test.it("serves a keyed request and refuses an unknown key", async (context) => {
     const platform = new standins.PlatformStandin();
     const target = new standins.TargetStandin("inspection-1");
@@ -65,9 +65,9 @@
     platform.publish(configuration.getNoteKey(1), createFirstNote(target.address));
     await kernelTesting.waitFor(
       () => services.get(configuration.CONFIGURATION).isReady(),
-      "the first note is in force",
+      "the first note is applied",
     );
-    // A new VM starts without tokens, so the first request waits for some to accrue.
+    // A new VM starts without tokens; waits until some have accrued.
     await kernel.sleep(20);
 
     const address = `http://127.0.0.1:${services.get(gateway.GATEWAY).port}`;
@@ -78,14 +78,14 @@
     });
     assert.equal(served.status, 200);
     assert.equal(await served.text(), "inspection-1 ran POST /fines/7?q=1\nfine");
-    assert.equal(target.seen[0]?.headers.authorization, undefined);
-    assert.equal(target.seen[0]?.headers["hemlockwalk-workspace"], "antwerp");
+    assert.equal(target.received[0]?.headers.authorization, undefined);
+    assert.equal(target.received[0]?.headers["hemlockwalk-workspace"], "antwerp");
 
     const refused = await fetch(`${address}/fines/7`, { headers: { authorization: "Bearer x" } });
     assert.equal(refused.status, 401);
     assert.equal(refused.headers.get("hemlockwalk-run"), "no");
     const problem = await refused.json() as { reason: string };
     assert.equal(problem.reason, "key_unknown");
-    assert.equal(target.seen.length, 1);
+    assert.equal(target.received.length, 1);
   });
 });
--- a/packages/standins/src/mod.ts
+++ b/packages/standins/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins of what is outside the system, for tests and measurement.
+ * Stand-ins for the systems around hemlockwalk, for tests and measurements.
  */
 
 export * from "./platform.ts";
--- a/packages/standins/src/platform.ts
+++ b/packages/standins/src/platform.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform's service: versioned values over plain HTTP, to be read and watched, with
- * the faults that the real one has.
+ * Stand-in for the platform's key-value service: serves reads and watches of versioned values over
+ * plain HTTP, and can inject the faults of the real service.
  */
 
 import * as http from "node:http";
@@ -18,23 +18,23 @@
   readonly value: StoredValue;
 }
 
-/** How the stand-in behaves. Tests change it while it runs. */
+/** Injected faults and limits. Tests change them while the stand-in runs. */
 export interface PlatformBehaviour {
-  /** Connections are closed without an answer. */
+  /** Whether calls are closed without a response. */
   away: boolean;
-  /** Calls arrive, and their answers do not: reachable one way only. */
+  /** Whether calls get no response: the path works in one direction only. */
   silent: boolean;
-  /** Only this many of the writes are visible, as on an older replica; undefined for all. */
+  /** Number of writes that reads see, as on a stale replica; undefined for all. */
   visibleWrites: number | undefined;
-  /** Only the first half of each value is sent, as if it were whole. */
+  /** Whether only the first half of each value is sent, as if it were complete. */
   torn: boolean;
-  /** Time before each answer. */
+  /** Delay before each response. */
   delayMilliseconds: number;
-  /** Calls within a second after which calls get status 429; undefined without a limit. */
+  /** Calls per second beyond which calls get status 429; undefined for no limit. */
   callsPerSecond: number | undefined;
 }
 
-/** Serves values on loopback. Publishing is a method of the stand-in, not part of the protocol. */
+/** Serves values on loopback. Values are written through `publish`, not through the protocol. */
 export class PlatformStandin {
   readonly behaviour: PlatformBehaviour = {
     away: false,
@@ -44,10 +44,10 @@
     delayMilliseconds: 0,
     callsPerSecond: undefined,
   };
-  /** Calls so far, a waiting watch counted as one. */
+  /** Number of calls so far; a watch counts as one call. */
   calls = 0;
-  /** Calls that were answered with status 429. */
-  refusedCalls = 0;
+  /** Number of calls that got status 429. */
+  rateLimitedCalls = 0;
   readonly #writes: Write[] = [];
   readonly #watchers = new Map<string, Set<() => void>>();
   readonly #server = http.createServer((request, response) => {
@@ -56,7 +56,7 @@
   #secondStart = Number.NEGATIVE_INFINITY;
   #callsInSecond = 0;
 
-  /** Starts to listen on loopback; port 0 takes a free one. */
+  /** Listens on loopback; port 0 selects a free port. */
   async start(port = 0): Promise<void> {
     await new Promise<void>((resolve) => this.#server.listen(port, "127.0.0.1", resolve));
   }
@@ -70,12 +70,12 @@
     return this.#writes.length;
   }
 
-  /** Sets a value under its next version. */
+  /** Writes a value with its next version and wakes its watches. */
   publish(key: string, text: string): void {
     const version = (this.#find(key, this.#writes.length)?.version ?? 0) + 1;
     this.#writes.push({ key, value: { version, text } });
-    for (const wake of [...this.#watchers.get(key) ?? []]) {
-      wake();
+    for (const notify of [...this.#watchers.get(key) ?? []]) {
+      notify();
     }
   }
 
@@ -91,7 +91,7 @@
       return;
     }
     if (this.#isOverRate()) {
-      this.refusedCalls++;
+      this.rateLimitedCalls++;
       response.statusCode = 429;
       response.end();
       return;
--- a/packages/standins/src/target.ts
+++ b/packages/standins/src/target.ts
@@ -1,23 +1,23 @@
 /**
- * Stand-in of a target: counts each run and echoes what it was sent.
+ * Stand-in for a target: records each request and echoes it.
  */
 
 import * as http from "node:http";
 import type * as net from "node:net";
 
-/** What a target stand-in saw of one request. */
-export interface SeenRequest {
+/** A request that a target stand-in received. */
+export interface ReceivedRequest {
   readonly method: string;
   readonly url: string;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
 }
 
-/** Answers every request on loopback with its own name and the request's body. */
+/** Serves every request on loopback with its own name and the request's method, URL and body. */
 export class TargetStandin {
   readonly name: string;
-  readonly seen: SeenRequest[] = [];
-  /** Time between the request and the answer. */
+  readonly received: ReceivedRequest[] = [];
+  /** Delay before each response. */
   delayMilliseconds = 0;
   readonly #server = http.createServer((request, response) => {
     void this.#answer(request, response);
@@ -47,7 +47,7 @@
     }
     const body = Buffer.concat(chunks).toString();
     const { method = "", url = "", headers } = request;
-    this.seen.push({ method, url, headers, body });
+    this.received.push({ method, url, headers, body });
     if (this.delayMilliseconds > 0) {
       await new Promise((resolve) => setTimeout(resolve, this.delayMilliseconds));
     }
--- a/packages/standins/src/target_main.ts
+++ b/packages/standins/src/target_main.ts
@@ -1,5 +1,5 @@
 /**
- * One target stand-in as a process. Prints its address, then serves until it is ended.
+ * Runs one target stand-in as a process. Prints its address, then serves until it is terminated.
  */
 
 import process from "node:process";
