--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -7,11 +7,11 @@
 import * as limits from "@hemlockwalk/limits";
 import type * as model from "@hemlockwalk/model";
 import * as targets from "@hemlockwalk/targets";
-import * as handlers from "./call_handler.ts";
 import * as connections from "./connections.ts";
 import * as forwarding from "./forwarding.ts";
 import * as listeners from "./listener.ts";
 import * as meters from "./meters.ts";
+import * as handlers from "./request_handler.ts";
 import * as running from "./running_requests.ts";
 
 /** Accepts callers' requests and forwards them to targets. */
