--- a/packages/fleet/bench/links_bench.ts
+++ b/packages/fleet/bench/links_bench.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what the membership costs over real links on loopback, heartbeats of links included.
- * Arguments: numbers of VMs, all in this process.
+ * Measures the traffic and processor time of the membership over WebSocket links on loopback,
+ * including the links' own heartbeats. Arguments: fleet sizes; all VMs run in this process.
  */
 
 import process from "node:process";
@@ -10,9 +10,9 @@
 import * as fleet from "../src/mod.ts";
 
 const SETTLE_MILLISECONDS = 8_000;
-const CALM_MILLISECONDS = 20_000;
+const IDLE_MILLISECONDS = 20_000;
 
-/** Headers of IPv4, TCP with time stamps, and a WebSocket frame. */
+/** Headers of IPv4, TCP with timestamps, and a WebSocket frame. */
 const FRAME_OVERHEAD_BYTES = 20 + 32 + 4;
 
 interface MeasuredVm {
@@ -73,19 +73,19 @@
   await kernel.sleep(SETTLE_MILLISECONDS);
   const frames = await count(vms, "hemlockwalk_peer_frames_total");
   const bytes = await count(vms, "hemlockwalk_peer_bytes_total");
-  const processor = process.cpuUsage();
-  await kernel.sleep(CALM_MILLISECONDS);
-  const used = process.cpuUsage(processor);
-  const perVm = size * CALM_MILLISECONDS / 1_000;
-  const sentFrames = (await count(vms, "hemlockwalk_peer_frames_total") - frames) / perVm;
-  const sentBytes = (await count(vms, "hemlockwalk_peer_bytes_total") - bytes) / perVm;
+  const cpuStart = process.cpuUsage();
+  await kernel.sleep(IDLE_MILLISECONDS);
+  const cpuUsed = process.cpuUsage(cpuStart);
+  const vmSeconds = size * IDLE_MILLISECONDS / 1_000;
+  const sentFrames = (await count(vms, "hemlockwalk_peer_frames_total") - frames) / vmSeconds;
+  const sentBytes = (await count(vms, "hemlockwalk_peer_bytes_total") - bytes) / vmSeconds;
   const onWire = sentBytes + sentFrames * FRAME_OVERHEAD_BYTES;
-  const core = (used.user + used.system) / 1_000 / CALM_MILLISECONDS / size;
+  const coreShare = (cpuUsed.user + cpuUsed.system) / 1_000 / IDLE_MILLISECONDS / size;
   const views = vms.filter((vm) => vm.membership?.listMembers().length === size).length;
   process.stdout.write(
-    `${size} VMs: ${views} with a whole view; each sends ${sentFrames.toFixed(1)} frames/s, ` +
+    `${size} VMs: ${views} with a complete view; each sends ${sentFrames.toFixed(1)} frames/s, ` +
       `${sentBytes.toFixed(0)} B/s, about ${onWire.toFixed(0)} B/s with headers, and uses ` +
-      `${(core * 100).toFixed(2)}% of a core; links ` +
+      `${(coreShare * 100).toFixed(2)}% of a core; links ` +
       `${(vms.reduce((total, vm) => total + vm.network.openLinks, 0) / size).toFixed(1)}\n`,
   );
   for (const vm of vms) {
--- a/packages/fleet/bench/membership_bench.ts
+++ b/packages/fleet/bench/membership_bench.ts
@@ -1,16 +1,17 @@
 /**
- * Measures the membership on the tests' clock: traffic for each VM in calm, time until a dead VM has
- * left all views, and the speed of the owner choice. Arguments: numbers of VMs, or `disturbances`.
+ * Measures the membership on the test clock: traffic for each VM while nothing changes, the time
+ * until a dead VM has left all views, and the speed of rendezvous hashing. Arguments: fleet sizes,
+ * or `disturbances`.
  */
 
 import process from "node:process";
 import * as rendezvous from "../src/rendezvous.ts";
 import * as simulation from "../test/simulated_fleet.ts";
 
-const CALM_MILLISECONDS = 60_000;
+const IDLE_MILLISECONDS = 60_000;
 const STEP_MILLISECONDS = 10;
 const DEATHS = 5;
-const GIVE_UP_MILLISECONDS = 60_000;
+const DEATH_TIMEOUT_MILLISECONDS = 60_000;
 const DISTURBED_VMS = 20;
 const DISTURBED_DATA_CENTRES = 3;
 const CUTS = 20;
@@ -18,10 +19,10 @@
 
 async function measureDeath(fleet: simulation.SimulatedFleet, name: string): Promise<number> {
   await fleet.kill(name);
-  const truth = fleet.describeTruth();
+  const expectedView = fleet.describeExpectedView();
   let waited = 0;
-  while (waited < GIVE_UP_MILLISECONDS) {
-    if ([...fleet.vms.values()].every((vm) => vm.describeView() === truth)) {
+  while (waited < DEATH_TIMEOUT_MILLISECONDS) {
+    if ([...fleet.vms.values()].every((vm) => vm.describeView() === expectedView)) {
       return waited;
     }
     await fleet.clock.advance(100, STEP_MILLISECONDS);
@@ -35,8 +36,8 @@
   await fleet.start(count);
   await fleet.clock.advance(20_000, STEP_MILLISECONDS);
   const { frames, bytes } = fleet.hub;
-  await fleet.clock.advance(CALM_MILLISECONDS, STEP_MILLISECONDS);
-  const seconds = CALM_MILLISECONDS / 1_000;
+  await fleet.clock.advance(IDLE_MILLISECONDS, STEP_MILLISECONDS);
+  const seconds = IDLE_MILLISECONDS / 1_000;
   const neighbours = [...fleet.vms.values()].map((vm) => vm.membership.neighbours.length);
   const deaths: number[] = [];
   const sentFrames = (fleet.hub.frames - frames) / seconds / count;
@@ -50,7 +51,7 @@
   }
   await fleet.end();
   process.stdout.write(
-    `${count} VMs: neighbours ${Math.max(...neighbours)}, sent a second by each VM ` +
+    `${count} VMs: neighbours ${Math.max(...neighbours)}, sent per second by each VM ` +
       `${sentFrames.toFixed(1)} frames, ${sentBytes.toFixed(0)} B; dead after ` +
       `${deaths.join(" ")} ms; suspicions ${suspicions} for ${deaths.length} deaths\n`,
   );
@@ -74,7 +75,9 @@
   }
 }
 
-/** One-way cuts between random VMs, each for 20 s, and pauses of one VM. */
+/**
+ * Measures suspicions under one-way cuts between random VMs, of 20 s each, and pauses of one VM.
+ */
 async function measureDisturbances(): Promise<void> {
   const fleet = new simulation.SimulatedFleet(DISTURBED_DATA_CENTRES);
   await fleet.start(DISTURBED_VMS);
--- a/packages/fleet/src/errors.ts
+++ b/packages/fleet/src/errors.ts
@@ -2,7 +2,7 @@
  * Errors of the fleet layer.
  */
 
-/** Why a message did not get through, as far as this VM can tell. */
+/** Why a message was not delivered, as far as this VM can determine. */
 export interface PeerError {
   readonly kind:
     | "unknown_peer"
@@ -15,7 +15,7 @@
   readonly detail: string;
 }
 
-/** Why a connection did not become a link. */
+/** Why the handshake on a connection failed, so that no link was opened. */
 export type HandshakeRefusal =
   | "timeout"
   | "malformed"
--- a/packages/fleet/src/gossip_membership.ts
+++ b/packages/fleet/src/gossip_membership.ts
@@ -1,6 +1,6 @@
 /**
- * This VM's view of the fleet, from heartbeats with a bounded number of neighbours, from what they
- * pass on, and from the platform's list.
+ * This VM's view of the fleet. It combines heartbeats with a bounded number of neighbours, updates
+ * that the neighbours forward, and the platform's list of VMs.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -16,24 +16,24 @@
 
 const HEARTBEAT_MILLISECONDS = 1_000;
 
-/** Share of a heartbeat's period that is random, so that heartbeats of VMs spread. */
-const JITTER = 0.2;
+/** Random share of the heartbeat period. It keeps the VMs from sending their heartbeats at once. */
+const HEARTBEAT_JITTER = 0.2;
 
-/** News are sent before the next heartbeat is due, but not more often than this. */
-const MIN_GAP_MILLISECONDS = 200;
+/** Updates are sent before the next heartbeat is due, but no more often than this. */
+const MIN_HEARTBEAT_GAP_MILLISECONDS = 200;
 
-/** A suspect VM has so long to show that it lives. */
-export const SUSPICION_MILLISECONDS = 3_000;
+/** A suspect VM is declared dead if it does not refute the suspicion within this time. */
+export const SUSPICION_TIMEOUT_MILLISECONDS = 3_000;
 
-/** A VM that nobody has answered for so long is isolated and judges nobody. */
-const ISOLATION_MILLISECONDS = 2_500;
+/** A VM that has received no response for this long is isolated and suspects no other VM. */
+const ISOLATION_TIMEOUT_MILLISECONDS = 2_500;
 
-/** How long the death of a VM overrides old statements that it lives. */
-const TOMBSTONE_MILLISECONDS = 60_000;
+/** How long the entry of a dead VM is kept, so that it overrides older entries about the VM. */
+const TOMBSTONE_RETENTION_MILLISECONDS = 60_000;
 
-const AGE_CHECK_MILLISECONDS = 250;
+const EXPIRY_CHECK_MILLISECONDS = 250;
 
-/** Tells when this process resumed after a pause. */
+/** Provides the time at which this process last resumed after a pause. */
 export interface PauseSource {
   readonly lastResumeMilliseconds: number;
 }
@@ -50,10 +50,12 @@
   readonly logger: kernel.PartLogger;
 }
 
-interface Watch {
+/** The task that sends heartbeats to one neighbour. */
+interface NeighbourMonitor {
   readonly stopping: AbortController;
-  readonly progress: exchanges.Progress;
-  turn: AbortController;
+  readonly progress: exchanges.NeighbourProgress;
+  /** Ends the wait for the next heartbeat. */
+  wait: AbortController;
 }
 
 /** Membership by heartbeats, gossip and the platform's list. */
@@ -65,7 +67,7 @@
   readonly #options: GossipMembershipOptions;
   readonly #exchange: exchanges.MembershipExchange;
   readonly #listeners: (() => void)[] = [];
-  readonly #watches = new Map<model.VmId, Watch>();
+  readonly #monitors = new Map<model.VmId, NeighbourMonitor>();
   readonly #stopping = new AbortController();
   readonly #tasks = new Set<Promise<void>>();
   #view: readonly types.Member[] | undefined;
@@ -80,7 +82,7 @@
     this.counters = options.counters;
     this.listing = new listings.VmListing(options.seeds);
     this.#exchange = new exchanges.MembershipExchange(this, options.network);
-    options.list?.onList((vms) => this.#takeList(vms));
+    options.list?.onList((vms) => this.#applyList(vms));
     const { vm, incarnation, dataCentre } = this.self;
     this.table.merge({
       vm,
@@ -95,23 +97,23 @@
 
   /** This VM's own entry. */
   get ownEntry(): entries.MemberEntry {
-    return kernel.getDefined(this.table.get(this.self.vm), "A VM knows itself.");
+    return kernel.getDefined(this.table.get(this.self.vm), "The table holds this VM's own entry.");
   }
 
-  /** Whether nobody answers this VM. */
+  /** Whether this VM has received no response for too long. */
   get isIsolated(): boolean {
     return this.#isIsolated;
   }
 
   /** The VMs that this VM sends heartbeats to. */
   get neighbours(): readonly model.VmId[] {
-    return [...this.#watches.keys()];
+    return [...this.#monitors.keys()];
   }
 
   listMembers(): readonly types.Member[] {
-    // A VM that hears nobody is the first to be suspected.
-    const doubted = this.#isIsolated || this.#isSuperseded ? this.self.vm : undefined;
-    this.#view ??= views.createView(this.table, this.listing, doubted);
+    // An isolated VM is more likely to be at fault than all the others.
+    const suspectedSelf = this.#isIsolated || this.#isSuperseded ? this.self.vm : undefined;
+    this.#view ??= views.createView(this.table, this.listing, suspectedSelf);
     return this.#view;
   }
 
@@ -119,7 +121,7 @@
     this.#listeners.push(listener);
   }
 
-  /** Where the peer listener of a VM is. */
+  /** Address of the peer listener of a VM. */
   findAddress(vm: model.VmId): string | undefined {
     return this.table.get(vm)?.address ?? this.listing.find(vm)?.address;
   }
@@ -132,15 +134,18 @@
 
   start(): void {
     this.#lastRoundTrip = kernel.getMonotonicMilliseconds();
-    this.#runTask(this.#runContacts());
-    this.#runTask(this.#runAges());
+    this.#runTask(this.#contactMissingVms());
+    this.#runTask(this.#checkAges());
     this.#refresh();
   }
 
-  /** Tells the fleet that this VM takes no new work. The daemon calls it first in a planned stop. */
+  /**
+   * Announces to the fleet that this VM accepts no new work. The daemon calls it first in a planned
+   * stop.
+   */
   announceLeaving(): void {
     if (!this.ownEntry.isLeaving) {
-      this.#restate({ isLeaving: true });
+      this.#updateOwnEntry({ isLeaving: true });
     }
   }
 
@@ -150,42 +155,42 @@
 
   async stop(): Promise<void> {
     if (!this.#isSuperseded) {
-      this.#restate({ isLeaving: true, health: "dead" });
-      this.#exchange.push([...this.#watches.keys()], [this.ownEntry]);
+      this.#updateOwnEntry({ isLeaving: true, health: "dead" });
+      this.#exchange.push([...this.#monitors.keys()], [this.ownEntry]);
     }
     this.#stopping.abort();
-    for (const watch of this.#watches.values()) {
-      endWatch(watch);
+    for (const monitor of this.#monitors.values()) {
+      stopMonitor(monitor);
     }
     await Promise.all(this.#tasks);
   }
 
-  merge(entry: entries.MemberEntry, isNews: boolean): void {
+  merge(entry: entries.MemberEntry, isUpdate: boolean): void {
     if (entry.vm === this.self.vm) {
-      this.#defend(entry);
+      this.#handleOwnEntry(entry);
       return;
     }
     const before = this.table.get(entry.vm);
-    if (!this.table.merge(entry, isNews)) {
+    if (!this.table.merge(entry, isUpdate)) {
       return;
     }
     if (entry.health === "dead") {
-      this.listing.remember({ ...entry, state: "live" });
+      this.listing.addFormerMember({ ...entry, state: "live" });
       const isReplaced = before !== undefined && before.incarnation !== entry.incarnation;
       this.counters.deaths.inc({ cause: isReplaced ? "replaced" : "told" });
     }
-    this.#changed(isNews);
+    this.#handleChange(isUpdate);
   }
 
-  noteRoundTrip(): void {
+  recordRoundTrip(): void {
     this.#lastRoundTrip = kernel.getMonotonicMilliseconds();
     if (this.#isIsolated) {
       this.#setIsolated(false);
     }
   }
 
-  /** Whether a failure that began at the given time may be this VM's own. */
-  isVoid(startedMilliseconds: number): boolean {
+  /** Whether a pause or isolation of this VM may explain a failure that began at the given time. */
+  mayBeLocalFault(startedMilliseconds: number): boolean {
     if (this.#options.pauses.lastResumeMilliseconds >= startedMilliseconds) {
       this.counters.voided.inc({ reason: "paused" });
       return true;
@@ -203,135 +208,147 @@
       return;
     }
     this.counters.suspicions.inc();
-    this.#options.logger.info("A VM is suspect.", { vm });
+    this.#options.logger.info("VM suspected: unreachable directly and through others.", { vm });
     this.merge({ ...entry, health: "suspect" }, true);
   }
 
-  /** The task of one neighbour. */
-  async #runWatch(vm: model.VmId, watch: Watch): Promise<void> {
-    const { signal } = watch.stopping;
+  /** Sends heartbeats to one neighbour until its signal aborts. */
+  async #runMonitor(vm: model.VmId, monitor: NeighbourMonitor): Promise<void> {
+    const { signal } = monitor.stopping;
     while (!signal.aborted) {
       const position = this.table.logEnd;
-      await this.#exchange.heartbeat(vm, watch.progress, signal);
-      await kernel.sleep(MIN_GAP_MILLISECONDS, signal);
+      await this.#exchange.heartbeat(vm, monitor.progress, signal);
+      await kernel.sleep(MIN_HEARTBEAT_GAP_MILLISECONDS, signal);
       if (this.table.logEnd === position) {
-        const period = HEARTBEAT_MILLISECONDS * (1 - JITTER / 2 + Math.random() * JITTER);
-        watch.turn = new AbortController();
-        await kernel.sleep(period - MIN_GAP_MILLISECONDS, watch.turn.signal);
+        const period = HEARTBEAT_MILLISECONDS *
+          (1 - HEARTBEAT_JITTER / 2 + Math.random() * HEARTBEAT_JITTER);
+        monitor.wait = new AbortController();
+        await kernel.sleep(period - MIN_HEARTBEAT_GAP_MILLISECONDS, monitor.wait.signal);
       }
     }
   }
 
-  /** The task that looks for VMs which are known, but not in touch. */
-  async #runContacts(): Promise<void> {
+  /** Contacts known VMs that have no entry or are recorded as dead, one at a time. */
+  async #contactMissingVms(): Promise<void> {
     const { signal } = this.#stopping;
     while (!signal.aborted) {
-      const vm = this.listing.pickRandom((candidate) => this.#isOutOfTouch(candidate));
+      const vm = this.listing.pickRandom((candidate) => this.#isUnknownOrDead(candidate));
       if (vm !== undefined && !this.#isSuperseded) {
         await this.#exchange.contact(vm);
       }
-      const isAlone = this.#watches.size === 0;
-      await kernel.sleep(isAlone ? MIN_GAP_MILLISECONDS : HEARTBEAT_MILLISECONDS, signal);
+      const hasNoNeighbours = this.#monitors.size === 0;
+      await kernel.sleep(
+        hasNoNeighbours ? MIN_HEARTBEAT_GAP_MILLISECONDS : HEARTBEAT_MILLISECONDS,
+        signal,
+      );
     }
   }
 
-  /** The task that turns long suspicion into death and forgets old deaths. */
-  async #runAges(): Promise<void> {
+  /**
+   * Checks the entries at intervals: declares VMs dead that were suspect for too long, and removes
+   * expired entries of dead VMs.
+   */
+  async #checkAges(): Promise<void> {
     const { signal } = this.#stopping;
     while (!signal.aborted) {
       const now = kernel.getMonotonicMilliseconds();
-      const isSilent = this.#watches.size > 0 &&
-        now - this.#lastRoundTrip > ISOLATION_MILLISECONDS;
-      if (isSilent && !this.#isIsolated) {
+      const isTimedOut = this.#monitors.size > 0 &&
+        now - this.#lastRoundTrip > ISOLATION_TIMEOUT_MILLISECONDS;
+      if (isTimedOut && !this.#isIsolated) {
         this.#setIsolated(true);
       }
       for (const entry of [...this.table.list()]) {
-        this.#judgeAge(entry, now);
+        this.#checkAge(entry, now);
       }
-      // Listed VMs that nobody heard leave the view by age alone.
+      // Listed VMs without an entry leave the view after some time, without any other change.
       this.#view = undefined;
-      await kernel.sleep(AGE_CHECK_MILLISECONDS, signal);
+      await kernel.sleep(EXPIRY_CHECK_MILLISECONDS, signal);
     }
   }
 
-  #judgeAge(entry: entries.MemberEntry, now: number): void {
-    const since = this.table.getSince(entry.vm);
-    if (entry.health === "dead" && now - since > TOMBSTONE_MILLISECONDS) {
+  #checkAge(entry: entries.MemberEntry, now: number): void {
+    const updatedAt = this.table.getUpdatedAt(entry.vm);
+    if (entry.health === "dead" && now - updatedAt > TOMBSTONE_RETENTION_MILLISECONDS) {
       this.table.remove(entry.vm);
       return;
     }
     if (entry.health !== "suspect") {
       return;
     }
-    // Neither a pause nor isolation of this VM counts against the suspect one.
-    if (this.#isIsolated || this.#options.pauses.lastResumeMilliseconds >= since) {
-      this.table.restartAge(entry.vm);
-    } else if (now - since > SUSPICION_MILLISECONDS) {
-      this.#bury(entry, "silent");
+    // A pause or isolation of this VM is not held against the suspect VM.
+    if (this.#isIsolated || this.#options.pauses.lastResumeMilliseconds >= updatedAt) {
+      this.table.resetAge(entry.vm);
+    } else if (now - updatedAt > SUSPICION_TIMEOUT_MILLISECONDS) {
+      this.#declareDead(entry, "silent");
     }
   }
 
-  #bury(entry: entries.MemberEntry, cause: "silent" | "unlisted"): void {
+  #declareDead(entry: entries.MemberEntry, cause: "silent" | "unlisted"): void {
     this.counters.deaths.inc({ cause });
-    this.#options.logger.info("A VM has left the view.", { vm: entry.vm, cause });
-    this.listing.remember({ ...entry, state: "live" });
+    this.#options.logger.info("VM declared dead.", { vm: entry.vm, cause });
+    this.listing.addFormerMember({ ...entry, state: "live" });
     this.table.merge({ ...entry, health: "dead" }, true);
-    this.#changed(true);
+    this.#handleChange(true);
   }
 
-  #takeList(vms: readonly types.ListedVm[]): void {
+  #applyList(vms: readonly types.ListedVm[]): void {
     for (const vm of this.listing.replace(vms)) {
       const entry = this.table.get(vm);
-      // The list lags and errs, so it only confirms what this VM has reason to believe.
-      const isDoubtful = entry?.health === "suspect" || this.#isIsolated;
-      if (entry !== undefined && entry.health !== "dead" && isDoubtful && vm !== this.self.vm) {
-        this.#bury(entry, "unlisted");
+      // The list lags and may be wrong, so it only confirms that a VM is dead which this VM
+      // suspects or, while isolated, cannot reach.
+      const mayBeDead = entry?.health === "suspect" || this.#isIsolated;
+      if (entry !== undefined && entry.health !== "dead" && mayBeDead && vm !== this.self.vm) {
+        this.#declareDead(entry, "unlisted");
       }
     }
-    this.#changed(false);
+    this.#handleChange(false);
   }
 
-  #isOutOfTouch(vm: model.VmId): boolean {
+  #isUnknownOrDead(vm: model.VmId): boolean {
     const entry = this.table.get(vm);
     return vm !== this.self.vm && (entry === undefined || entry.health === "dead");
   }
 
-  /** Answers a statement of others about this VM itself. */
-  #defend(entry: entries.MemberEntry): void {
+  /** Handles an entry about this VM itself: refutes a report that it is suspect or dead. */
+  #handleOwnEntry(entry: entries.MemberEntry): void {
     const own = this.ownEntry;
     if (entry.incarnation > own.incarnation) {
-      this.#supersede();
+      this.#markSuperseded();
     } else if (entry.incarnation === own.incarnation && entries.overrides(entry, own)) {
       this.counters.refutations.inc();
-      this.#restate({ counter: entry.counter + 1 });
+      this.#updateOwnEntry({ counter: entry.counter + 1 });
     }
   }
 
-  #supersede(): void {
+  #markSuperseded(): void {
     if (!this.#isSuperseded) {
       this.#isSuperseded = true;
-      this.#options.logger.error("Another process runs under this VM's identifier.");
-      this.#changed(false);
+      this.#options.logger.error(
+        "Another process with a later incarnation uses this VM's identifier.",
+      );
+      this.#handleChange(false);
     }
   }
 
-  #restate(changes: Partial<entries.MemberEntry>): void {
+  #updateOwnEntry(changes: Partial<entries.MemberEntry>): void {
     const own = this.ownEntry;
     this.table.merge({ ...own, counter: own.counter + 1, ...changes }, true);
-    this.#changed(true);
+    this.#handleChange(true);
   }
 
   #setIsolated(isIsolated: boolean): void {
     this.#isIsolated = isIsolated;
-    this.#options.logger.warn(isIsolated ? "No VM answers." : "Other VMs answer again.");
-    this.#changed(false);
+    this.#options.logger.warn(
+      isIsolated ? "No other VM responds; this VM is isolated." : "Other VMs respond again.",
+    );
+    this.#handleChange(false);
   }
 
-  #changed(isNews: boolean): void {
+  #handleChange(isUpdate: boolean): void {
     this.#view = undefined;
-    if (isNews) {
-      for (const watch of this.#watches.values()) {
-        watch.turn.abort();
+    if (isUpdate) {
+      for (const monitor of this.#monitors.values()) {
+        monitor.wait.abort();
       }
     }
     if (!this.#isRefreshDue) {
@@ -347,30 +364,30 @@
     if (this.#stopping.signal.aborted) {
       return;
     }
-    this.#refreshWatches();
+    this.#updateMonitors();
     for (const listener of this.#listeners) {
       listener();
     }
   }
 
-  #refreshWatches(): void {
-    const alive = [...this.table.list()].filter((entry) => entry.health !== "dead");
-    const wanted = this.#isSuperseded ? [] : neighbours.pickNeighbours(this.self, alive);
-    for (const [vm, watch] of this.#watches) {
+  #updateMonitors(): void {
+    const members = [...this.table.list()].filter((entry) => entry.health !== "dead");
+    const wanted = this.#isSuperseded ? [] : neighbours.pickNeighbours(this.self, members);
+    for (const [vm, monitor] of this.#monitors) {
       if (!wanted.includes(vm)) {
-        this.#watches.delete(vm);
-        endWatch(watch);
+        this.#monitors.delete(vm);
+        stopMonitor(monitor);
       }
     }
     for (const vm of wanted) {
-      if (!this.#watches.has(vm)) {
-        const watch = {
+      if (!this.#monitors.has(vm)) {
+        const monitor = {
           stopping: new AbortController(),
-          turn: new AbortController(),
-          progress: { told: this.table.logEnd, mismatches: 0 },
+          wait: new AbortController(),
+          progress: { logPosition: this.table.logEnd, mismatches: 0 },
         };
-        this.#watches.set(vm, watch);
-        this.#runTask(this.#runWatch(vm, watch));
+        this.#monitors.set(vm, monitor);
+        this.#runTask(this.#runMonitor(vm, monitor));
       }
     }
   }
@@ -381,7 +398,7 @@
   }
 }
 
-function endWatch(watch: Watch): void {
-  watch.stopping.abort();
-  watch.turn.abort();
+function stopMonitor(monitor: NeighbourMonitor): void {
+  monitor.stopping.abort();
+  monitor.wait.abort();
 }
--- a/packages/fleet/src/leaving_announcement.ts
+++ b/packages/fleet/src/leaving_announcement.ts
@@ -1,13 +1,13 @@
 /**
- * Tells the fleet early that this VM leaves.
+ * Announces to the fleet that this VM is about to stop.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 import type * as gossip from "./gossip_membership.ts";
 
 /**
- * Announces at the very beginning of a planned stop that this VM leaves. Registered as the last
- * service, it drains first.
+ * Announces at the very beginning of a planned stop that this VM leaves. It is registered last,
+ * since the service that was registered last drains first.
  */
 export class LeavingAnnouncement implements kernel.Service {
   readonly #membership: gossip.GossipMembership;
@@ -21,7 +21,7 @@
   }
 }
 
-/** The name under which the announcement is found. */
+/** Service name of the announcement. */
 export const LEAVING_ANNOUNCEMENT = kernel.createServiceName<LeavingAnnouncement>(
   "leaving-announcement",
 );
--- a/packages/fleet/src/member_entry.ts
+++ b/packages/fleet/src/member_entry.ts
@@ -1,21 +1,22 @@
 /**
- * What VMs tell each other about one VM, and which of two such statements holds.
+ * Entries that VMs exchange about the state of one VM, and the order in which they override each
+ * other.
  */
 
 import type * as model from "@hemlockwalk/model";
 import * as zod from "zod";
 import * as rendezvous from "./rendezvous.ts";
 
-/** Health in the order in which it overrides, at the same incarnation and counter. */
-export const HEALTHS = ["live", "suspect", "dead"] as const;
+/** States of health. At the same incarnation and counter, a later one overrides an earlier one. */
+export const HEALTH_STATES = ["live", "suspect", "dead"] as const;
 
-export type Health = typeof HEALTHS[number];
+export type Health = typeof HEALTH_STATES[number];
 
-/** A statement about a VM. */
+/** The state of a VM as one VM reports it to others. */
 export interface MemberEntry {
   readonly vm: model.VmId;
   readonly incarnation: model.Incarnation;
-  /** Raised by the VM itself alone, to override what others said of it. */
+  /** Incremented only by the VM itself, to override entries of others about it. */
   readonly counter: number;
   readonly address: string;
   readonly dataCentre: model.DataCentreId;
@@ -23,7 +24,7 @@
   readonly health: Health;
 }
 
-/** Whether a statement overrides an earlier one about the same VM. */
+/** Whether an entry overrides an earlier one about the same VM. */
 export function overrides(entry: MemberEntry, earlier: MemberEntry): boolean {
   if (entry.incarnation !== earlier.incarnation) {
     return entry.incarnation > earlier.incarnation;
@@ -31,10 +32,10 @@
   if (entry.counter !== earlier.counter) {
     return entry.counter > earlier.counter;
   }
-  return HEALTHS.indexOf(entry.health) > HEALTHS.indexOf(earlier.health);
+  return HEALTH_STATES.indexOf(entry.health) > HEALTH_STATES.indexOf(earlier.health);
 }
 
-/** Contribution of an entry to the digest of a view; entries of dead VMs contribute nothing. */
+/** Hash of an entry for the digest of a table. Entries of dead VMs do not change the digest. */
 export function hashEntry(entry: MemberEntry): number {
   if (entry.health === "dead") {
     return 0;
@@ -43,27 +44,27 @@
   return rendezvous.hashText(`${vm} ${incarnation} ${counter} ${isLeaving} ${health}`);
 }
 
-/** The short array in which an entry travels. */
+/** Compact form of an entry on the wire. */
 export type EncodedEntry = readonly [string, string, number, string, string, number];
 
 const LEAVING_FLAG = 4;
 const MAX_TEXT = 128;
 
-/** Turns an entry into the array that travels. */
+/** Encodes an entry for the wire. */
 export function encodeEntry(entry: MemberEntry): EncodedEntry {
-  const flags = HEALTHS.indexOf(entry.health) + (entry.isLeaving ? LEAVING_FLAG : 0);
+  const flags = HEALTH_STATES.indexOf(entry.health) + (entry.isLeaving ? LEAVING_FLAG : 0);
   return [entry.vm, entry.incarnation, entry.counter, entry.address, entry.dataCentre, flags];
 }
 
-/** Schema of an entry that came from another VM. */
+/** Schema of an entry received from another VM. */
 export const entrySchema = zod.tuple([
   zod.string().min(1).max(MAX_TEXT),
   zod.string().min(1).max(MAX_TEXT),
   zod.number().int().min(0).max(Number.MAX_SAFE_INTEGER),
   zod.string().max(MAX_TEXT),
   zod.string().min(1).max(MAX_TEXT),
-  zod.number().int().min(0).max(LEAVING_FLAG + HEALTHS.length - 1)
-    .refine((flags) => flags % LEAVING_FLAG < HEALTHS.length),
+  zod.number().int().min(0).max(LEAVING_FLAG + HEALTH_STATES.length - 1)
+    .refine((flags) => flags % LEAVING_FLAG < HEALTH_STATES.length),
 ]).transform(([vm, incarnation, counter, address, dataCentre, flags]): MemberEntry => ({
   vm: vm as model.VmId,
   incarnation: incarnation as model.Incarnation,
@@ -71,5 +72,5 @@
   address,
   dataCentre: dataCentre as model.DataCentreId,
   isLeaving: flags >= LEAVING_FLAG,
-  health: HEALTHS[flags % LEAVING_FLAG] ?? "suspect",
+  health: HEALTH_STATES[flags % LEAVING_FLAG] ?? "suspect",
 }));
--- a/packages/fleet/src/member_table.ts
+++ b/packages/fleet/src/member_table.ts
@@ -1,5 +1,6 @@
 /**
- * The entries that one VM holds about the fleet, with digests by which two VMs find differences.
+ * The entries that one VM holds about the fleet, with digests by which two VMs find those that
+ * differ.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -7,34 +8,34 @@
 import * as entries from "./member_entry.ts";
 import * as rendezvous from "./rendezvous.ts";
 
-/** Digests are kept for each of so many groups of VMs, so that few entries need comparing. */
-export const BUCKETS = 64;
+/** Number of groups of VMs with a digest each, so that few entries have to be compared. */
+export const BUCKET_COUNT = 64;
 
-/** Changes that are remembered for telling neighbours. */
-const MAX_LOG = 2_048;
+/** Maximum number of changes kept in the log from which neighbours are updated. */
+const MAX_LOG_ENTRIES = 2_048;
 
 interface Row {
   readonly entry: entries.MemberEntry;
-  /** When this VM took the entry over. */
-  readonly since: number;
+  /** When this VM applied the entry, or last reset its age. */
+  readonly updatedAt: number;
 }
 
 /** Entries by VM. */
 export class MemberTable {
   readonly #rows = new Map<model.VmId, Row>();
-  readonly #digests = new Uint32Array(BUCKETS);
+  readonly #digests = new Uint32Array(BUCKET_COUNT);
   readonly #log: model.VmId[] = [];
   #logStart = 0;
 
-  /** Position behind the latest change. */
+  /** Log position after the latest change. */
   get logEnd(): number {
     return this.#logStart + this.#log.length;
   }
 
-  /** One number that is the same for two tables with the same entries, but for dead VMs. */
+  /** A digest that is the same for two tables with the same entries, apart from dead VMs. */
   get digest(): number {
     let digest = 0;
-    for (let bucket = 0; bucket < BUCKETS; bucket++) {
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
       digest = (Math.imul(digest, 31) + (this.#digests[bucket] ?? 0)) >>> 0;
     }
     return digest;
@@ -44,9 +45,9 @@
     return this.#rows.get(vm)?.entry;
   }
 
-  /** When the present entry of a VM was taken over. */
-  getSince(vm: model.VmId): number {
-    return this.#rows.get(vm)?.since ?? Number.NEGATIVE_INFINITY;
+  /** When the current entry of a VM was applied, or its age last reset. */
+  getUpdatedAt(vm: model.VmId): number {
+    return this.#rows.get(vm)?.updatedAt ?? Number.NEGATIVE_INFINITY;
   }
 
   /** All entries, those of dead VMs included. */
@@ -57,64 +58,72 @@
   }
 
   /**
-   * Takes an entry over when it overrides the present one.
+   * Applies an entry if it overrides the current one.
    *
-   * @param isNews Whether neighbours shall be told.
+   * @param isUpdate Whether to add the change to the log, so that neighbours receive it.
+   * @returns Whether the entry was applied.
    */
-  merge(entry: entries.MemberEntry, isNews: boolean): boolean {
+  merge(entry: entries.MemberEntry, isUpdate: boolean): boolean {
     const present = this.#rows.get(entry.vm);
     if (present !== undefined && !entries.overrides(entry, present.entry)) {
       return false;
     }
-    // The death of a VM that was never known is not worth an entry.
+    // A dead VM without an earlier entry needs none.
     if (present === undefined && entry.health === "dead") {
       return false;
     }
     this.#toggleDigest(present?.entry);
     this.#toggleDigest(entry);
-    this.#rows.set(entry.vm, { entry, since: kernel.getMonotonicMilliseconds() });
-    if (isNews) {
+    this.#rows.set(entry.vm, { entry, updatedAt: kernel.getMonotonicMilliseconds() });
+    if (isUpdate) {
       this.#addToLog(entry.vm);
     }
     return true;
   }
 
-  /** Starts the age of an entry anew. */
-  restartAge(vm: model.VmId): void {
+  /** Resets the age of an entry to zero. */
+  resetAge(vm: model.VmId): void {
     const row = this.#rows.get(vm);
     if (row !== undefined) {
-      this.#rows.set(vm, { entry: row.entry, since: kernel.getMonotonicMilliseconds() });
+      this.#rows.set(vm, { entry: row.entry, updatedAt: kernel.getMonotonicMilliseconds() });
     }
   }
 
-  /** Forgets a dead VM. */
+  /** Removes the entry of a VM. */
   remove(vm: model.VmId): void {
     this.#toggleDigest(this.get(vm));
     this.#rows.delete(vm);
   }
 
-  /** Entries that changed since a position of the log, at most so many, and the next position. */
-  listNews(
+  /**
+   * Lists the entries that changed since a position of the log.
+   *
+   * @param limit Maximum number of entries.
+   * @returns The entries, and the position from which to continue.
+   */
+  listChanges(
     from: number,
     limit: number,
-  ): { readonly news: readonly entries.MemberEntry[]; readonly next: number } {
-    const changed = new Set<model.VmId>();
+  ): { readonly changes: readonly entries.MemberEntry[]; readonly next: number } {
+    const changedVms = new Set<model.VmId>();
     let position = Math.max(from, this.#logStart);
-    while (position < this.logEnd && changed.size < limit) {
-      changed.add(
+    while (position < this.logEnd && changedVms.size < limit) {
+      changedVms.add(
         kernel.getDefined(this.#log[position - this.#logStart], "The position is in the log."),
       );
       position++;
     }
-    const news = [...changed].map((vm) => this.get(vm)).filter((entry) => entry !== undefined);
-    return { news, next: position };
+    const changes = [...changedVms].map((vm) => this.get(vm)).filter((entry) =>
+      entry !== undefined
+    );
+    return { changes, next: position };
   }
 
   listBucketDigests(): number[] {
     return [...this.#digests];
   }
 
-  /** Entries of the groups whose digests differ, dead VMs included. */
+  /** Entries of the groups whose digests differ from the given ones, dead VMs included. */
   listDiffering(digests: readonly number[]): entries.MemberEntry[] {
     const differing: entries.MemberEntry[] = [];
     for (const entry of this.list()) {
@@ -135,8 +144,8 @@
 
   #addToLog(vm: model.VmId): void {
     this.#log.push(vm);
-    if (this.#log.length > MAX_LOG) {
-      const dropped = this.#log.length - MAX_LOG / 2;
+    if (this.#log.length > MAX_LOG_ENTRIES) {
+      const dropped = this.#log.length - MAX_LOG_ENTRIES / 2;
       this.#log.splice(0, dropped);
       this.#logStart += dropped;
     }
@@ -144,5 +153,5 @@
 }
 
 function getBucket(vm: model.VmId): number {
-  return rendezvous.hashText(vm) % BUCKETS;
+  return rendezvous.hashText(vm) % BUCKET_COUNT;
 }
--- a/packages/fleet/src/member_view.ts
+++ b/packages/fleet/src/member_view.ts
@@ -1,5 +1,5 @@
 /**
- * Turns entries and listings into the members that other packages see.
+ * Builds the list of members that other packages see from the entries and the platform's list.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -11,16 +11,17 @@
 /**
  * Lists the members in the order of their identifiers.
  *
- * @param doubted The VM itself, when it has reason to doubt its own part in the fleet.
+ * @param suspectedSelf This VM's own identifier if the VM is isolated or superseded, so that it is
+ * listed as suspect.
  */
 export function createView(
   members: table.MemberTable,
   listing: listings.VmListing,
-  doubted: model.VmId | undefined,
+  suspectedSelf: model.VmId | undefined,
 ): readonly types.Member[] {
   const view = new Map<model.VmId, types.Member>();
-  for (const { vm, dataCentre, address } of listing.listUnheard()) {
-    // A VM that was heard once has an entry, which says more than the list.
+  for (const { vm, dataCentre, address } of listing.listRecent()) {
+    // A VM with an entry is listed below: its entry is more accurate than the platform's list.
     if (members.get(vm) === undefined) {
       view.set(vm, { vm, dataCentre, address, incarnation: undefined, state: "suspect" });
     }
@@ -28,7 +29,7 @@
   for (const entry of members.list()) {
     if (entry.health !== "dead") {
       const { vm, dataCentre, address, incarnation } = entry;
-      const state = getState(entry, listing, doubted);
+      const state = getState(entry, listing, suspectedSelf);
       view.set(vm, { vm, dataCentre, address, incarnation, state });
     }
   }
@@ -38,10 +39,10 @@
 function getState(
   entry: entries.MemberEntry,
   listing: listings.VmListing,
-  doubted: model.VmId | undefined,
+  suspectedSelf: model.VmId | undefined,
 ): types.Member["state"] {
   if (entry.isLeaving || listing.isLeaving(entry.vm)) {
     return "leaving";
   }
-  return entry.health === "live" && entry.vm !== doubted ? "live" : "suspect";
+  return entry.health === "live" && entry.vm !== suspectedSelf ? "live" : "suspect";
 }
--- a/packages/fleet/src/membership.ts
+++ b/packages/fleet/src/membership.ts
@@ -5,7 +5,7 @@
 import * as kernel from "@hemlockwalk/kernel";
 import type * as types from "./types.ts";
 
-/** Knows this VM only. */
+/** A membership whose only member is this VM. */
 export class SoleMembership implements types.Membership {
   readonly self: types.VmIdentity;
   readonly #address: string;
@@ -24,5 +24,5 @@
   }
 }
 
-/** The name under which the membership is found. */
+/** Service name of the membership. */
 export const MEMBERSHIP = kernel.createServiceName<types.Membership>("membership");
--- a/packages/fleet/src/membership_counters.ts
+++ b/packages/fleet/src/membership_counters.ts
@@ -4,7 +4,7 @@
 
 import type * as kernel from "@hemlockwalk/kernel";
 
-/** What the membership counts. */
+/** Counters of suspicions, deaths, heartbeats and messages of the membership. */
 export class MembershipCounters {
   readonly suspicions;
   readonly refutations;
@@ -17,11 +17,11 @@
   constructor(metrics: kernel.Metrics) {
     this.suspicions = metrics.createCounter(
       "hemlockwalk_membership_suspicions_total",
-      "VMs that this VM found unreachable, itself and through others.",
+      "VMs that this VM suspected after neither it nor other VMs reached them.",
     );
     this.refutations = metrics.createCounter(
       "hemlockwalk_membership_refutations_total",
-      "Statements that this VM is suspect or dead, which it has overridden.",
+      "Reports that this VM is suspect or dead, which it has refuted.",
     );
     this.deaths = metrics.createCounter(
       "hemlockwalk_membership_deaths_total",
@@ -30,21 +30,21 @@
     );
     this.voided = metrics.createCounter(
       "hemlockwalk_membership_voided_suspicions_total",
-      "Failed heartbeats that prove nothing, by reason.",
+      "Failed heartbeats that were not counted against the neighbour, by reason.",
       ["reason"],
     );
     this.pathFailures = metrics.createCounter(
       "hemlockwalk_membership_path_failures_total",
-      "Failed heartbeats to VMs that other VMs reached.",
+      "Failed heartbeats to VMs that another VM reached.",
     );
     this.refused = metrics.createCounter(
       "hemlockwalk_membership_refused_messages_total",
-      "Messages that were dropped, by reason.",
+      "Membership messages that were rejected, by reason.",
       ["reason"],
     );
     this.synchronizations = metrics.createCounter(
       "hemlockwalk_membership_synchronizations_total",
-      "Comparisons of whole views with a neighbour.",
+      "Synchronizations of all entries with a neighbour.",
     );
   }
 }
--- a/packages/fleet/src/membership_exchange.ts
+++ b/packages/fleet/src/membership_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Heartbeats, news and comparisons of views between VMs, and the probes through third VMs that stand
- * before every suspicion.
+ * Exchanges heartbeats and updates between VMs, synchronizes their tables, and probes a VM through
+ * other VMs before it is suspected.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -12,44 +12,46 @@
 import * as messages from "./membership_messages.ts";
 import type * as types from "./types.ts";
 
-/** An answer must come within this time, which covers the way to the other region and back. */
+/** Timeout of a call. It covers a round trip to the other region. */
 const CALL_TIMEOUT_MILLISECONDS = 700;
 
-/** The answer of a third VM must come within this time, its own probe included. */
+/** Timeout of a request to a third VM, including that VM's own call. */
 const PROBE_TIMEOUT_MILLISECONDS = 1_000;
 
-/** Third VMs that are asked before a VM is suspected. */
-const HELPERS = 3;
+/** Number of third VMs that probe a VM before it is suspected. */
+const HELPER_COUNT = 3;
 
-/** Views that differ at so many heartbeats in a row are compared. */
+/** Tables whose digests differ at this many heartbeats in a row are synchronized. */
 const MISMATCHES_BEFORE_SYNC = 2;
 
 const MAX_SYNC_ROUNDS = 12;
 
-/** How far one neighbour has been told of changes. */
-export interface Progress {
-  told: number;
+/** How far one neighbour has received this VM's updates. */
+export interface NeighbourProgress {
+  /** Position in the log after the last change that was sent. */
+  logPosition: number;
+  /** Heartbeats in a row at which the digests differed. */
   mismatches: number;
 }
 
-/** What the exchange needs of its membership. */
+/** The parts of the membership that the exchange uses. */
 export interface ExchangeOwner {
   readonly self: types.VmIdentity;
   readonly table: table.MemberTable;
   readonly counters: membershipCounters.MembershipCounters;
   readonly ownEntry: entries.MemberEntry;
   readonly isIsolated: boolean;
-  merge(entry: entries.MemberEntry, isNews: boolean): void;
-  noteRoundTrip(): void;
-  isVoid(startedMilliseconds: number): boolean;
+  merge(entry: entries.MemberEntry, isUpdate: boolean): void;
+  recordRoundTrip(): void;
+  mayBeLocalFault(startedMilliseconds: number): boolean;
   suspect(vm: model.VmId): void;
 }
 
-/** Sends and answers the messages of the membership. */
+/** Sends and handles the messages of the membership. */
 export class MembershipExchange {
   readonly #owner: ExchangeOwner;
   readonly #network: types.PeerNetwork;
-  readonly #callers = new Map<model.VmId, Progress>();
+  readonly #callerProgress = new Map<model.VmId, NeighbourProgress>();
 
   constructor(owner: ExchangeOwner, network: types.PeerNetwork) {
     this.#owner = owner;
@@ -61,45 +63,45 @@
     network.handle(messages.PING_CHANNEL, () => true);
   }
 
-  /** Sends one heartbeat and judges the neighbour by it. */
-  async heartbeat(vm: model.VmId, progress: Progress, signal: AbortSignal): Promise<void> {
-    const started = kernel.getMonotonicMilliseconds();
+  /** Sends one heartbeat. Suspects the neighbour if it fails and other VMs confirm the failure. */
+  async heartbeat(vm: model.VmId, progress: NeighbourProgress, signal: AbortSignal): Promise<void> {
+    const startedAt = kernel.getMonotonicMilliseconds();
     if (await this.#exchange(vm, progress)) {
       return;
     }
-    if (signal.aborted || this.#owner.isVoid(started)) {
+    if (signal.aborted || this.#owner.mayBeLocalFault(startedAt)) {
       return;
     }
-    const verdicts = await this.#askHelpers(vm);
-    if (signal.aborted || this.#owner.isVoid(started)) {
+    const reachability = await this.#probeThroughHelpers(vm);
+    if (signal.aborted || this.#owner.mayBeLocalFault(startedAt)) {
       return;
     }
-    if (verdicts.includes(true)) {
+    if (reachability.includes(true)) {
       this.#owner.counters.pathFailures.inc();
-    } else if (verdicts.includes(false)) {
+    } else if (reachability.includes(false)) {
       this.#owner.suspect(vm);
     } else {
-      // Nobody answered, so this VM may be the one that is cut off.
+      // No other VM responded, so this VM may be the one that is cut off.
       this.#owner.counters.voided.inc({ reason: "no_helper" });
     }
   }
 
-  /** Tries a VM that is out of touch. */
+  /** Tries to reach a VM that has no entry or is recorded as dead. */
   async contact(vm: model.VmId): Promise<void> {
     await this.#exchange(vm, {
-      told: this.#owner.table.logEnd,
+      logPosition: this.#owner.table.logEnd,
       mismatches: MISMATCHES_BEFORE_SYNC,
     });
   }
 
-  /** Sends entries without waiting. */
+  /** Sends entries without waiting for a response. */
   push(to: readonly model.VmId[], pushed: readonly entries.MemberEntry[]): void {
     for (const vm of to) {
       this.#network.send(vm, messages.PUSH_CHANNEL, { entries: pushed.map(entries.encodeEntry) });
     }
   }
 
-  async #exchange(vm: model.VmId, progress: Progress): Promise<boolean> {
+  async #exchange(vm: model.VmId, progress: NeighbourProgress): Promise<boolean> {
     const { next, payload } = this.#createExchange(vm, progress);
     const called = await this.#network.call(
       vm,
@@ -113,8 +115,8 @@
     if (answer === undefined) {
       return false;
     }
-    progress.told = next;
-    this.#owner.noteRoundTrip();
+    progress.logPosition = next;
+    this.#owner.recordRoundTrip();
     this.#mergeAll([answer.entry, ...answer.news], true);
     const isEqual = answer.digest === this.#owner.table.digest;
     progress.mismatches = isEqual ? 0 : progress.mismatches + 1;
@@ -125,15 +127,20 @@
     return true;
   }
 
-  #createExchange(vm: model.VmId, progress: Progress) {
-    const { news, next } = this.#owner.table.listNews(progress.told, messages.MAX_NEWS);
-    const about = this.#owner.table.get(vm);
-    // A VM that is believed suspect or dead must learn it, to override the belief.
-    const told = about === undefined || about.health === "live" ? news : [about, ...news];
+  #createExchange(vm: model.VmId, progress: NeighbourProgress) {
+    const { changes, next } = this.#owner.table.listChanges(
+      progress.logPosition,
+      messages.MAX_UPDATES,
+    );
+    const peerEntry = this.#owner.table.get(vm);
+    // A VM that is recorded as suspect or dead must receive that entry to be able to refute it.
+    const updates = peerEntry === undefined || peerEntry.health === "live"
+      ? changes
+      : [peerEntry, ...changes];
     const payload = {
       entry: entries.encodeEntry(this.#owner.ownEntry),
       digest: this.#owner.table.digest,
-      news: told.map(entries.encodeEntry),
+      news: updates.map(entries.encodeEntry),
     };
     return { next, payload };
   }
@@ -164,7 +171,7 @@
     }
   }
 
-  async #askHelpers(vm: model.VmId): Promise<(boolean | undefined)[]> {
+  async #probeThroughHelpers(vm: model.VmId): Promise<(boolean | undefined)[]> {
     const helpers = this.#pickHelpers(vm);
     return await Promise.all(helpers.map(async (helper) => {
       const called = await this.#network.call(
@@ -176,7 +183,7 @@
       if (called.isErr()) {
         return undefined;
       }
-      this.#owner.noteRoundTrip();
+      this.#owner.recordRoundTrip();
       return this.#check(messages.probeAnswerSchema, called.value)?.isReached;
     }));
   }
@@ -186,7 +193,7 @@
       entry.health === "live" && entry.vm !== vm && entry.vm !== this.#owner.self.vm
     );
     const picked: model.VmId[] = [];
-    while (picked.length < HELPERS && candidates.length > 0) {
+    while (picked.length < HELPER_COUNT && candidates.length > 0) {
       const [entry] = candidates.splice(Math.floor(Math.random() * candidates.length), 1);
       picked.push(kernel.getDefined(entry, "There is a candidate.").vm);
     }
@@ -203,41 +210,44 @@
     }
     const known = this.#owner.table.get(from.vm);
     if (known !== undefined && known.incarnation > from.incarnation) {
-      // The earlier process learns that it has been replaced, and nothing else.
+      // The replaced process receives only the entry of its successor.
       this.#owner.counters.refused.inc({ reason: "stale_incarnation" });
       return this.#createAnswer([known]);
     }
-    const progress = this.#getCaller(from.vm);
+    const progress = this.#getCallerProgress(from.vm);
     this.#mergeAll([request.entry, ...request.news], true);
-    const { news, next } = this.#owner.table.listNews(progress.told, messages.MAX_NEWS);
-    progress.told = next;
-    const about = this.#owner.table.get(from.vm);
-    const isDoubted = about !== undefined && about.health !== "live";
-    return this.#createAnswer(isDoubted ? [about, ...news] : news);
+    const { changes, next } = this.#owner.table.listChanges(
+      progress.logPosition,
+      messages.MAX_UPDATES,
+    );
+    progress.logPosition = next;
+    const peerEntry = this.#owner.table.get(from.vm);
+    const isSuspected = peerEntry !== undefined && peerEntry.health !== "live";
+    return this.#createAnswer(isSuspected ? [peerEntry, ...changes] : changes);
   }
 
-  #createAnswer(news: readonly entries.MemberEntry[]): unknown {
+  #createAnswer(updates: readonly entries.MemberEntry[]): unknown {
     return {
       entry: entries.encodeEntry(this.#owner.ownEntry),
       digest: this.#owner.table.digest,
-      news: news.map(entries.encodeEntry),
+      news: updates.map(entries.encodeEntry),
     };
   }
 
-  #getCaller(vm: model.VmId): Progress {
-    let progress = this.#callers.get(vm);
+  #getCallerProgress(vm: model.VmId): NeighbourProgress {
+    let progress = this.#callerProgress.get(vm);
     if (progress === undefined) {
-      progress = { told: this.#owner.table.logEnd, mismatches: 0 };
-      this.#callers.set(vm, progress);
-      this.#forgetCallers();
+      progress = { logPosition: this.#owner.table.logEnd, mismatches: 0 };
+      this.#callerProgress.set(vm, progress);
+      this.#removeUnknownCallers();
     }
     return progress;
   }
 
-  #forgetCallers(): void {
-    for (const vm of this.#callers.keys()) {
-      if (this.#callers.size > 1 && this.#owner.table.get(vm) === undefined) {
-        this.#callers.delete(vm);
+  #removeUnknownCallers(): void {
+    for (const vm of this.#callerProgress.keys()) {
+      if (this.#callerProgress.size > 1 && this.#owner.table.get(vm) === undefined) {
+        this.#callerProgress.delete(vm);
       }
     }
   }
@@ -258,7 +268,8 @@
   #onPush(message: types.PeerMessage): void {
     const request = this.#check(messages.pushSchema, message.payload);
     if (request !== undefined && !this.#isStale(message.from)) {
-      // What a VM says of itself is news; the rest repairs a difference that others repair too.
+      // Only the sender's own entry is forwarded. The others come from a synchronization, and other
+      // VMs synchronize too.
       for (const entry of request.entries) {
         this.#owner.merge(entry, entry.vm === message.from.vm);
       }
@@ -279,9 +290,9 @@
     return { isReached: called.isOk() };
   }
 
-  #mergeAll(merged: readonly entries.MemberEntry[], isNews: boolean): void {
+  #mergeAll(merged: readonly entries.MemberEntry[], isUpdate: boolean): void {
     for (const entry of merged) {
-      this.#owner.merge(entry, isNews);
+      this.#owner.merge(entry, isUpdate);
     }
   }
 
--- a/packages/fleet/src/membership_messages.ts
+++ b/packages/fleet/src/membership_messages.ts
@@ -1,5 +1,5 @@
 /**
- * Messages by which VMs keep each other's view of the fleet up to date.
+ * Messages by which VMs keep their views of the fleet up to date.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -8,32 +8,32 @@
 import * as table from "./member_table.ts";
 import * as messaging from "./peer_messaging.ts";
 
-/** A heartbeat with news, answered by news. */
+/** A heartbeat with updates. The response carries updates too. */
 export const EXCHANGE_CHANNEL = messaging.createChannelName("membership.exchange");
-/** Digests of all groups, answered by the entries of those that differ. */
+/** The digests of all groups. The response carries the entries of the groups that differ. */
 export const SYNC_CHANNEL = messaging.createChannelName("membership.sync");
-/** Entries for a VM that lacks them. */
+/** Entries for a VM that lacks them. There is no response. */
 export const PUSH_CHANNEL = messaging.createChannelName("membership.push");
-/** Asks a third VM to reach another. */
+/** A request to a third VM to ping another VM. */
 export const PROBE_CHANNEL = messaging.createChannelName("membership.probe");
-/** Answered at once by a VM that lives. */
+/** A ping, to which a running VM responds at once. */
 export const PING_CHANNEL = messaging.createChannelName("membership.ping");
 
-/** Entries in one heartbeat or its answer. */
-export const MAX_NEWS = 24;
-/** Entries in one answer to a comparison of digests. */
+/** Maximum number of updates in one heartbeat or its response. */
+export const MAX_UPDATES = 24;
+/** Maximum number of entries in one push or one response to a synchronization request. */
 export const MAX_SYNC_ENTRIES = 128;
 
-const news = zod.array(entries.entrySchema).max(MAX_NEWS + 1);
+const updates = zod.array(entries.entrySchema).max(MAX_UPDATES + 1);
 const digest = zod.number().int().min(0).max(0xffff_ffff);
-const digests = zod.array(digest).length(table.BUCKETS);
+const digests = zod.array(digest).length(table.BUCKET_COUNT);
 const page = zod.array(entries.entrySchema).max(MAX_SYNC_ENTRIES);
 
 export const exchangeSchema = zod.object({
   /** The sender's own entry. */
   entry: entries.entrySchema,
   digest,
-  news,
+  news: updates,
 });
 
 export const exchangeAnswerSchema = exchangeSchema;
@@ -43,7 +43,7 @@
 export const syncAnswerSchema = zod.object({
   digests,
   entries: page,
-  /** Whether the page holds all that differs. */
+  /** Whether `entries` holds all entries that differ. */
   isWhole: zod.boolean(),
 });
 
--- a/packages/fleet/src/mod.ts
+++ b/packages/fleet/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The fleet: links between VMs, membership and the choice of owners.
+ * The fleet: links between VMs, membership, and rendezvous hashing.
  */
 
 export type * from "./errors.ts";
--- a/packages/fleet/src/peer_counters.ts
+++ b/packages/fleet/src/peer_counters.ts
@@ -4,7 +4,7 @@
 
 import type * as kernel from "@hemlockwalk/kernel";
 
-/** What the peer links of one VM count. */
+/** Counters of frames, bytes, links and handshakes of one VM. */
 export class PeerCounters {
   readonly frames;
   readonly bytes;
@@ -18,17 +18,17 @@
   constructor(metrics: kernel.Metrics) {
     this.frames = metrics.createCounter(
       "hemlockwalk_peer_frames_total",
-      "Frames moved over peer links, heartbeats of links included.",
+      "Frames sent and received over peer links, including the links' own heartbeats.",
       ["direction"],
     );
     this.bytes = metrics.createCounter(
       "hemlockwalk_peer_bytes_total",
-      "Bytes of frames moved over peer links, without the overhead of TCP.",
+      "Bytes of frames sent and received over peer links, without the overhead of TCP.",
       ["direction"],
     );
     this.sentBytes = metrics.createCounter(
       "hemlockwalk_peer_sent_bytes_total",
-      "Bytes of frames handed to peer links, by the part of the daemon that sent them.",
+      "Bytes of frames passed to peer links, by the part of the daemon that sent them.",
       ["part"],
     );
     this.drops = metrics.createCounter(
@@ -48,7 +48,7 @@
     );
     this.handshakesRefused = metrics.createCounter(
       "hemlockwalk_peer_handshakes_refused_total",
-      "Connections that did not become links, by reason.",
+      "Connections whose handshake failed, by reason.",
       ["reason"],
     );
     this.dialsFailed = metrics.createCounter(
--- a/packages/fleet/src/peer_handshake.ts
+++ b/packages/fleet/src/peer_handshake.ts
@@ -1,10 +1,10 @@
 /**
- * How two VMs prove to each other that they know the fleet's secret.
+ * Handshake in which two VMs prove to each other that they have the fleet's secret.
  *
- * The dialling VM says hello with a nonce, the accepting VM answers with its own, then the dialler
- * proves itself, and only after that the acceptor. A proof is an HMAC over both nonces, both
- * identities, the offered versions and the role of its author, so that it can neither be replayed on
- * another connection nor sent back to its author.
+ * The dialling VM sends a hello with a nonce, and the accepting VM responds with its own nonce.
+ * Then the dialler sends its proof, and only after checking it the acceptor sends its own. A proof
+ * is an HMAC over both nonces, both identities, the offered versions and the role of its author, so
+ * that it can neither be replayed on another connection nor reflected to its author.
  */
 
 import * as crypto from "node:crypto";
@@ -15,7 +15,7 @@
 import type * as secrets from "./peer_secrets.ts";
 import type * as types from "./types.ts";
 
-/** Versions of the link protocol that this VM speaks, best first. */
+/** Versions of the link protocol that this VM supports, the preferred one first. */
 export const LINK_VERSIONS: readonly number[] = [1];
 
 const NONCE_BYTES = 32;
@@ -23,17 +23,17 @@
 const MAX_TEXT = 128;
 const MAX_VERSIONS = 16;
 
-/** Each message of the handshake must come within this time. */
+/** Timeout for each message of the handshake. */
 export const HANDSHAKE_TIMEOUT_MILLISECONDS = 2_000;
 
-/** Moves the messages of a handshake. */
+/** Carries the messages of a handshake. */
 export interface HandshakeChannel {
   send(message: unknown): void;
-  /** The next message; undefined when none came in time or the connection closed. */
+  /** The next message; undefined if none arrived in time or the connection closed. */
   next(timeoutMilliseconds: number): Promise<unknown>;
 }
 
-/** Tells whether an incarnation is the latest known one of its VM. */
+/** Checks whether an incarnation is the latest known one of its VM. */
 export type IncarnationCheck = (vm: model.VmId, incarnation: model.Incarnation) => boolean;
 
 const identity = zod.object({
@@ -48,7 +48,7 @@
   identity,
   nonce,
   versions: zod.array(zod.number().int()).min(1).max(MAX_VERSIONS),
-  /** The VM that the dialler means to reach. */
+  /** The VM that the dialler expects at the other end. */
   expected: zod.string().max(MAX_TEXT),
 });
 
@@ -58,7 +58,7 @@
   proof: zod.instanceof(Uint8Array).refine((value) => value.length === PROOF_BYTES),
 });
 
-/** What both proofs are made over. */
+/** The data that both proofs cover. */
 export interface Transcript {
   readonly dialler: types.VmIdentity;
   readonly acceptor: types.VmIdentity;
@@ -68,9 +68,9 @@
   readonly version: number;
 }
 
-type Refused<T> = neverthrow.Result<T, errors.HandshakeRefusal>;
+type HandshakeResult<T> = neverthrow.Result<T, errors.HandshakeRefusal>;
 
-/** Makes the proof of one role. */
+/** Computes the proof of one role. */
 export function createProof(
   role: "dialler" | "acceptor",
   secret: string,
@@ -91,7 +91,7 @@
     const bytes = Buffer.from(part as string);
     const length = Buffer.alloc(4);
     length.writeUInt32BE(bytes.length);
-    // The length goes first, so that no two transcripts have the same bytes.
+    // Each part is prefixed with its length, so that no two transcripts have the same bytes.
     hmac.update(length);
     hmac.update(bytes);
   }
@@ -99,15 +99,15 @@
 }
 
 /** Runs the handshake on the side that dialled. */
-export async function greetAsDialler(
+export async function handshakeAsDialler(
   channel: HandshakeChannel,
   self: types.VmIdentity,
   expected: model.VmId,
-  source: secrets.PeerSecretSource,
+  secretSource: secrets.PeerSecretSource,
   isLatest: IncarnationCheck,
-): Promise<Refused<types.VmIdentity>> {
-  const known = await source.read();
-  if (known.isErr()) {
+): Promise<HandshakeResult<types.VmIdentity>> {
+  const sharedSecrets = await secretSource.read();
+  if (sharedSecrets.isErr()) {
     return neverthrow.err("no_secret");
   }
   const diallerNonce = createNonce();
@@ -131,27 +131,34 @@
     versions: LINK_VERSIONS,
     version,
   };
-  channel.send({ proof: createProof("dialler", known.value[0] ?? "", transcript) });
+  channel.send({ proof: createProof("dialler", sharedSecrets.value[0] ?? "", transcript) });
   const answer = await receive(channel, proofSchema);
   if (answer.isErr()) {
     return neverthrow.err(answer.error);
   }
-  return judge("acceptor", known.value, transcript, answer.value.proof, acceptor, isLatest);
+  return verifyProof(
+    "acceptor",
+    sharedSecrets.value,
+    transcript,
+    answer.value.proof,
+    acceptor,
+    isLatest,
+  );
 }
 
 /** Runs the handshake on the side that was dialled. */
-export async function greetAsAcceptor(
+export async function handshakeAsAcceptor(
   channel: HandshakeChannel,
   self: types.VmIdentity,
-  source: secrets.PeerSecretSource,
+  secretSource: secrets.PeerSecretSource,
   isLatest: IncarnationCheck,
-): Promise<Refused<types.VmIdentity>> {
+): Promise<HandshakeResult<types.VmIdentity>> {
   const hello = await receive(channel, helloSchema);
   if (hello.isErr()) {
     return neverthrow.err(hello.error);
   }
-  const known = await source.read();
-  if (known.isErr()) {
+  const sharedSecrets = await secretSource.read();
+  if (sharedSecrets.isErr()) {
     return neverthrow.err("no_secret");
   }
   const { identity: dialler, nonce: diallerNonce, versions, expected } = hello.value;
@@ -159,7 +166,7 @@
   if (version === undefined) {
     return neverthrow.err("version");
   }
-  // A VM that dials itself would be answered by its own secret.
+  // A VM that dials itself would pass the handshake with its own secret.
   if (expected !== self.vm || dialler.vm === self.vm) {
     return neverthrow.err("wrong_peer");
   }
@@ -171,11 +178,18 @@
   }
   const transcript = { dialler, acceptor: self, diallerNonce, acceptorNonce, versions, version };
   const { proof } = answer.value;
-  const judged = judge("dialler", known.value, transcript, proof, dialler, isLatest);
-  if (judged.isOk()) {
-    channel.send({ proof: createProof("acceptor", known.value[0] ?? "", transcript) });
+  const verified = verifyProof(
+    "dialler",
+    sharedSecrets.value,
+    transcript,
+    proof,
+    dialler,
+    isLatest,
+  );
+  if (verified.isOk()) {
+    channel.send({ proof: createProof("acceptor", sharedSecrets.value[0] ?? "", transcript) });
   }
-  return judged;
+  return verified;
 }
 
 function createNonce(): Uint8Array {
@@ -189,7 +203,7 @@
 async function receive<Schema extends zod.ZodType>(
   channel: HandshakeChannel,
   schema: Schema,
-): Promise<Refused<zod.output<Schema>>> {
+): Promise<HandshakeResult<zod.output<Schema>>> {
   const message = await channel.next(HANDSHAKE_TIMEOUT_MILLISECONDS);
   if (message === undefined) {
     return neverthrow.err("timeout");
@@ -198,15 +212,15 @@
   return checked.success ? neverthrow.ok(checked.data) : neverthrow.err("malformed");
 }
 
-function judge(
+function verifyProof(
   role: "dialler" | "acceptor",
-  known: readonly string[],
+  sharedSecrets: readonly string[],
   transcript: Transcript,
   proof: Uint8Array,
   author: types.VmIdentity,
   isLatest: IncarnationCheck,
-): Refused<types.VmIdentity> {
-  const isProven = known.some((secret) =>
+): HandshakeResult<types.VmIdentity> {
+  const isProven = sharedSecrets.some((secret) =>
     crypto.timingSafeEqual(createProof(role, secret, transcript), proof)
   );
   if (!isProven) {
--- a/packages/fleet/src/peer_link.ts
+++ b/packages/fleet/src/peer_link.ts
@@ -1,10 +1,10 @@
 /**
- * One authenticated connection to another VM: frames, heartbeats, and the decision that the
- * connection no longer works.
+ * One authenticated connection to another VM: frames, heartbeats, and the detection of a connection
+ * that no longer works.
  *
- * A heartbeat tells how many frames its sender has received, and is sent soon after frames came. So
- * each side by itself notices frames that do not arrive, whatever still comes the other way, and a
- * link that nobody uses costs nothing.
+ * A heartbeat reports how many frames its sender has received. It is sent soon after frames arrive.
+ * So each side detects on its own that its frames do not arrive, even while it still receives
+ * frames, and an unused link causes no traffic.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -13,34 +13,34 @@
 import type * as sockets from "./peer_socket.ts";
 import type * as types from "./types.ts";
 
-/** Received frames are confirmed at such intervals. */
-const HEARTBEAT_MILLISECONDS = 500;
+/** Interval at which received frames are acknowledged. */
+const HEARTBEAT_INTERVAL_MILLISECONDS = 500;
 
-/** How often a link looks whether its peer went silent. */
-const CHECK_MILLISECONDS = 100;
+/** Interval at which a link checks for missing acknowledgements. */
+const CHECK_INTERVAL_MILLISECONDS = 100;
 
-/** A link on which a frame was not confirmed for so long is given up. */
-export const SILENCE_LIMIT_MILLISECONDS = 1_700;
+/** A link is ended if a frame has not been acknowledged for this long. */
+export const ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS = 1_700;
 
-/** A check this late shows that this VM was paused, so that its own silence proves nothing. */
-const PAUSE_MILLISECONDS = 250;
+/** A check that is this late shows that this VM was paused, so the peer is not held responsible. */
+const PAUSE_THRESHOLD_MILLISECONDS = 250;
 
-/** A link that carried no frame but heartbeats for so long is closed. */
-export const IDLE_LIMIT_MILLISECONDS = 60_000;
+/** A link that carried no frames except heartbeats for this long is closed. */
+export const IDLE_TIMEOUT_MILLISECONDS = 60_000;
 
 const KIND_CODES = ["heartbeat", "message", "call", "answer", "failure"] as const;
 
-/** What a link tells its owner. */
+/** Receives the frames of a link. */
 export interface LinkOwner {
   onFrame(link: PeerLink, frame: unknown): void;
 }
 
-/** Turns a frame into the short array that travels. */
+/** Converts a frame to the compact array that is sent. */
 export function encodeFrame(frame: messaging.Frame): unknown[] {
   return [KIND_CODES.indexOf(frame.kind), frame.channel, frame.callId, frame.payload];
 }
 
-/** One link. Its task is {@link PeerLink.run}. */
+/** One link. The owner calls {@link PeerLink.run} to operate it. */
 export class PeerLink {
   readonly peer: types.VmIdentity;
   /** Whether this VM opened the connection. */
@@ -49,15 +49,15 @@
   readonly #owner: LinkOwner;
   readonly #stopping = new AbortController();
   #end: errors.LinkEnd | undefined;
-  #lastHeard: number;
-  #lastUsed: number;
+  #lastReceivedAt: number;
+  #lastUsedAt: number;
   #sent = 0;
   #received = 0;
-  #receivedConfirmed = 0;
-  #sentConfirmed = 0;
-  /** When the oldest frame that is not yet confirmed may have been sent. */
-  #unconfirmedSince = Number.POSITIVE_INFINITY;
-  #resumed = Number.NEGATIVE_INFINITY;
+  #receivedAcknowledged = 0;
+  #sentAcknowledged = 0;
+  /** Earliest time at which the oldest unacknowledged frame may have been sent. */
+  #unacknowledgedSince = Number.POSITIVE_INFINITY;
+  #resumedAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     peer: types.VmIdentity,
@@ -69,16 +69,16 @@
     this.isDialled = isDialled;
     this.#socket = socket;
     this.#owner = owner;
-    this.#lastHeard = kernel.getMonotonicMilliseconds();
-    this.#lastUsed = this.#lastHeard;
+    this.#lastReceivedAt = kernel.getMonotonicMilliseconds();
+    this.#lastUsedAt = this.#lastReceivedAt;
   }
 
-  /** Whether the link takes frames. */
+  /** Whether frames can be sent on the link. */
   get isOpen(): boolean {
     return this.#end === undefined && !this.#socket.isClosed;
   }
 
-  /** Bytes that wait to be sent. */
+  /** Bytes queued to be sent. */
   get queuedBytes(): number {
     return this.#socket.queuedBytes;
   }
@@ -86,9 +86,9 @@
   /** Sends an encoded frame. */
   sendEncoded(bytes: Buffer): void {
     const now = kernel.getMonotonicMilliseconds();
-    this.#lastUsed = now;
+    this.#lastUsedAt = now;
     this.#sent++;
-    this.#unconfirmedSince = Math.min(this.#unconfirmedSince, now);
+    this.#unacknowledgedSince = Math.min(this.#unacknowledgedSince, now);
     this.#socket.sendEncoded(bytes);
   }
 
@@ -98,53 +98,59 @@
     this.#stopping.abort();
   }
 
-  /** Serves the link until it ends. */
+  /** Operates the link until it ends. */
   async run(): Promise<errors.LinkEnd> {
     void this.#socket.closed.then(() => this.end("closed_by_peer"));
-    this.#socket.listen((message) => this.#take(message));
-    let lastBeat = Number.NEGATIVE_INFINITY;
+    this.#socket.listen((message) => this.#handleMessage(message));
+    let lastHeartbeatAt = Number.NEGATIVE_INFINITY;
     while (this.#end === undefined) {
       const now = kernel.getMonotonicMilliseconds();
-      if (this.#received > this.#receivedConfirmed && now - lastBeat >= HEARTBEAT_MILLISECONDS) {
+      if (
+        this.#received > this.#receivedAcknowledged &&
+        now - lastHeartbeatAt >= HEARTBEAT_INTERVAL_MILLISECONDS
+      ) {
         this.#socket.send([0, this.#received]);
-        this.#receivedConfirmed = this.#received;
-        lastBeat = now;
+        this.#receivedAcknowledged = this.#received;
+        lastHeartbeatAt = now;
       }
-      await kernel.sleep(CHECK_MILLISECONDS, this.#stopping.signal);
+      await kernel.sleep(CHECK_INTERVAL_MILLISECONDS, this.#stopping.signal);
       this.#check(now);
     }
     this.#socket.terminate();
     return this.#end;
   }
 
-  #check(before: number): void {
+  #check(startedAt: number): void {
     const now = kernel.getMonotonicMilliseconds();
-    if (now - before - CHECK_MILLISECONDS > PAUSE_MILLISECONDS) {
-      // What came during the pause has yet to be read.
-      this.#resumed = now;
+    if (now - startedAt - CHECK_INTERVAL_MILLISECONDS > PAUSE_THRESHOLD_MILLISECONDS) {
+      // Messages that arrived during the pause have not been read yet.
+      this.#resumedAt = now;
     }
-    if (now - Math.max(this.#unconfirmedSince, this.#resumed) > SILENCE_LIMIT_MILLISECONDS) {
-      const isHeard = now - this.#lastHeard < SILENCE_LIMIT_MILLISECONDS;
-      this.end(isHeard ? "one_way" : "silent");
-    } else if (now - this.#lastUsed > IDLE_LIMIT_MILLISECONDS) {
+    if (
+      now - Math.max(this.#unacknowledgedSince, this.#resumedAt) >
+        ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS
+    ) {
+      const isReceiving = now - this.#lastReceivedAt < ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS;
+      this.end(isReceiving ? "one_way" : "silent");
+    } else if (now - this.#lastUsedAt > IDLE_TIMEOUT_MILLISECONDS) {
       this.end("idle");
     }
   }
 
-  #take(message: unknown): void {
+  #handleMessage(message: unknown): void {
     const now = kernel.getMonotonicMilliseconds();
-    this.#lastHeard = now;
+    this.#lastReceivedAt = now;
     if (!Array.isArray(message)) {
       this.end("malformed");
       return;
     }
     const kind = KIND_CODES[Number(message[0])];
     if (kind === "heartbeat") {
-      this.#takeHeartbeat(Number(message[1]), now);
+      this.#handleHeartbeat(Number(message[1]), now);
       return;
     }
     this.#received++;
-    this.#lastUsed = now;
+    this.#lastUsedAt = now;
     const frame = {
       version: messaging.FRAME_VERSION,
       kind,
@@ -155,15 +161,15 @@
     this.#owner.onFrame(this, frame);
   }
 
-  #takeHeartbeat(confirmed: number, now: number): void {
-    const isPossible = confirmed >= this.#sentConfirmed && confirmed <= this.#sent;
-    if (!isPossible) {
+  #handleHeartbeat(acknowledged: number, now: number): void {
+    const isValid = acknowledged >= this.#sentAcknowledged && acknowledged <= this.#sent;
+    if (!isValid) {
       this.end("malformed");
       return;
     }
-    if (confirmed > this.#sentConfirmed) {
-      this.#sentConfirmed = confirmed;
-      this.#unconfirmedSince = confirmed < this.#sent ? now : Number.POSITIVE_INFINITY;
+    if (acknowledged > this.#sentAcknowledged) {
+      this.#sentAcknowledged = acknowledged;
+      this.#unacknowledgedSince = acknowledged < this.#sent ? now : Number.POSITIVE_INFINITY;
     }
   }
 }
--- a/packages/fleet/src/peer_messaging.ts
+++ b/packages/fleet/src/peer_messaging.ts
@@ -1,5 +1,5 @@
 /**
- * Channels, messages and calls over any transport that moves frames between VMs.
+ * Channels, messages and calls on top of any transport that carries frames between VMs.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -8,15 +8,15 @@
 import type * as errors from "./errors.ts";
 import type * as types from "./types.ts";
 
-/** Version of the frames. A VM drops frames of a version that it does not know. */
+/** Version of the frame format. A VM drops frames of a version that it does not support. */
 export const FRAME_VERSION = 1;
 
-/** One message on its way. */
+/** One message as it is sent. */
 export interface Frame {
   readonly version: number;
   readonly kind: "message" | "call" | "answer" | "failure";
   readonly channel: string;
-  /** Links an answer to its call; 0 for a plain message. */
+  /** Matches an answer or failure to its call; 0 for a plain message. */
   readonly callId: number;
   readonly payload: unknown;
 }
@@ -31,7 +31,7 @@
   return name as types.ChannelName;
 }
 
-/** Handlers that may run at once for one peer; a peer that asks for more is refused. */
+/** Maximum number of handlers running for one peer; further messages and calls are refused. */
 const MAX_RUNNING_HANDLERS_PER_PEER = 512;
 
 const NO_HANDLER = "no handler";
@@ -41,7 +41,7 @@
 
 const FRAME_KINDS: ReadonlySet<unknown> = new Set(["message", "call", "answer", "failure"]);
 
-/** Checks the shape of a received frame; undefined when it is not one. */
+/** Validates a received value as a frame; undefined if it is not one. */
 export function parseFrame(value: unknown): Frame | undefined {
   if (typeof value !== "object" || value === null) {
     return undefined;
@@ -57,19 +57,19 @@
   return channel.split(".", 1)[0] ?? channel;
 }
 
-/** What all peer networks have in common. A subclass moves the frames. */
+/** Base class of all peer networks. A subclass transmits the frames. */
 export abstract class PeerMessaging implements types.PeerNetwork {
   readonly self: types.VmIdentity;
   readonly #handlers = new Map<string, types.PeerHandler>();
   readonly #calls = new Map<number, PendingCall>();
-  readonly #running = new Map<model.VmId, number>();
+  readonly #runningHandlers = new Map<model.VmId, number>();
   #lastCallId = 0;
 
   constructor(self: types.VmIdentity) {
     this.self = self;
   }
 
-  /** Calls that wait for an answer. */
+  /** Number of calls that wait for a response. */
   get pendingCalls(): number {
     return this.#calls.size;
   }
@@ -103,7 +103,7 @@
         clearTimeout(timer);
         resolve(result);
       };
-      // The call is known before its frame leaves, since a failing link ends it at once.
+      // The call is registered before its frame is sent, since a failing link settles it at once.
       this.#calls.set(callId, { to, settle });
       const sent = this.transmit(to, createFrame("call", channel, callId, payload));
       if (sent.isErr()) {
@@ -112,7 +112,7 @@
     });
   }
 
-  /** Moves a frame towards another VM without waiting. */
+  /** Sends a frame to another VM without waiting for its delivery. */
   protected abstract transmit(
     to: model.VmId,
     frame: Frame,
@@ -123,7 +123,7 @@
     // A network without metrics counts nothing.
   }
 
-  /** Ends the calls to one VM, or all calls, whose answers can no longer come. */
+  /** Fails the calls to one VM, or all calls, when responses can no longer arrive. */
   protected failCalls(detail: string, to?: model.VmId): void {
     for (const [callId, pending] of [...this.#calls]) {
       if (to === undefined || pending.to === to) {
@@ -132,7 +132,7 @@
     }
   }
 
-  /** Takes what came from another VM, which may be anything. */
+  /** Handles a value received from another VM, which is not yet validated. */
   protected receive(from: types.VmIdentity, value: unknown): void {
     const frame = parseFrame(value);
     if (frame === undefined) {
@@ -166,13 +166,13 @@
       this.#answer(from, frame, "failure", NO_HANDLER);
       return;
     }
-    const running = this.#running.get(from.vm) ?? 0;
+    const running = this.#runningHandlers.get(from.vm) ?? 0;
     if (running >= MAX_RUNNING_HANDLERS_PER_PEER) {
       this.reportDrop("overloaded");
       this.#answer(from, frame, "failure", "overloaded");
       return;
     }
-    this.#running.set(from.vm, running + 1);
+    this.#runningHandlers.set(from.vm, running + 1);
     try {
       const answer = await handler({ from, channel, payload: frame.payload });
       this.#answer(from, frame, "answer", answer);
@@ -184,11 +184,11 @@
   }
 
   #finishHandler(vm: model.VmId): void {
-    const running = (this.#running.get(vm) ?? 1) - 1;
+    const running = (this.#runningHandlers.get(vm) ?? 1) - 1;
     if (running === 0) {
-      this.#running.delete(vm);
+      this.#runningHandlers.delete(vm);
     } else {
-      this.#running.set(vm, running);
+      this.#runningHandlers.set(vm, running);
     }
   }
 
@@ -209,7 +209,7 @@
     result: neverthrow.Result<unknown, errors.PeerError>,
   ): void {
     const pending = this.#calls.get(callId);
-    // An answer may be late, duplicated, or come from a VM that was not asked.
+    // A response may be late, duplicated, or come from a VM that was not called.
     if (pending === undefined || pending.to !== from) {
       this.reportDrop("late");
       return;
@@ -234,5 +234,5 @@
   return { version: FRAME_VERSION, kind, channel, callId, payload };
 }
 
-/** The name under which the peer network is found. */
+/** Service name of the peer network. */
 export const PEER_NETWORK = kernel.createServiceName<types.PeerNetwork>("peer-network");
--- a/packages/fleet/src/peer_secrets.ts
+++ b/packages/fleet/src/peer_secrets.ts
@@ -1,5 +1,5 @@
 /**
- * The secret that all VMs of a fleet share and prove to each other.
+ * The secret that all VMs of a fleet share, by which they authenticate each other.
  */
 
 import * as fs from "node:fs/promises";
@@ -8,20 +8,20 @@
 /** Shorter secrets could be guessed from a recorded proof. */
 export const MIN_SECRET_CHARACTERS = 32;
 
-/** The secret in use, and beside it during a rotation the earlier or later one. */
+/** The secret in use and, during a rotation, the previous or next one. */
 const MAX_SECRETS = 2;
 
-/** Where a VM finds the secrets. */
+/** Source of the secrets of a VM. */
 export interface PeerSecretSource {
   /**
-   * Reads one or two secrets. A VM proves itself by the first and accepts both.
+   * Reads one or two secrets. A VM creates proofs with the first one and accepts proofs with both.
    *
-   * @returns The secrets, or a sentence that says why there are none.
+   * @returns The secrets, or a sentence that explains why there are none.
    */
   read(): Promise<neverthrow.Result<readonly string[], string>>;
 }
 
-/** Reads the secrets from a file with one on each line, anew for each handshake. */
+/** Reads the secrets from a file with one on each line. The file is read for each handshake. */
 export class FilePeerSecrets implements PeerSecretSource {
   readonly #file: string;
 
@@ -40,7 +40,7 @@
   }
 }
 
-/** Splits the text of a secret file. */
+/** Parses the text of a secret file. */
 export function parseSecrets(text: string): neverthrow.Result<readonly string[], string> {
   const secrets = text.split("\n").map((line) => line.trim()).filter((line) => line !== "");
   if (secrets.length === 0 || secrets.length > MAX_SECRETS) {
--- a/packages/fleet/src/peer_socket.ts
+++ b/packages/fleet/src/peer_socket.ts
@@ -1,5 +1,5 @@
 /**
- * One WebSocket that carries messages encoded by msgpackr.
+ * A WebSocket that carries messages encoded by msgpackr.
  */
 
 import * as msgpackr from "msgpackr";
@@ -7,47 +7,47 @@
 import type * as counters from "./peer_counters.ts";
 import type * as handshake from "./peer_handshake.ts";
 
-/** Largest message on a link. A release note of a megabyte fits. */
+/** Maximum size of a message on a link. A release note of 1 MiB fits. */
 export const MAX_MESSAGE_BYTES = 2 * 1_048_576;
 
-/** Largest message before the peer has proven itself. */
+/** Maximum size of a message before the peer is authenticated. */
 const MAX_HANDSHAKE_MESSAGE_BYTES = 4_096;
 
-/** Messages that may wait for the handshake to take them. */
-const MAX_WAITING_MESSAGES = 8;
+/** Maximum number of received messages that the handshake has not read yet. */
+const MAX_UNREAD_MESSAGES = 8;
 
-// Records would make a decoder depend on earlier messages.
+// With records, decoding a message would depend on earlier messages.
 const packr = new msgpackr.Packr({ useRecords: false });
 
-/** Encodes a message for any number of sockets. */
+/** Encodes a message. The result can be sent on any number of sockets. */
 export function encodeMessage(message: unknown): Buffer {
   return packr.pack(message);
 }
 
-/** Hands over each message, or `undefined` for one that cannot be decoded. */
+/** Called with each message, or with `undefined` for one that cannot be decoded. */
 export type MessageListener = (message: unknown) => void;
 
-/** A WebSocket whose messages are taken one by one first and by a listener later. */
+/** A WebSocket whose messages are read one at a time at first, and passed to a listener later. */
 export class PeerSocket implements handshake.HandshakeChannel {
   /** Settles when the connection has closed. */
   readonly closed: Promise<void>;
   readonly #socket: ws.WebSocket;
   readonly #counters: counters.PeerCounters;
-  readonly #waiting: unknown[] = [];
-  #taker: ((message: unknown) => void) | undefined;
+  readonly #unread: unknown[] = [];
+  #reader: ((message: unknown) => void) | undefined;
   #listener: MessageListener | undefined;
   #isClosed = false;
 
   constructor(socket: ws.WebSocket, peerCounters: counters.PeerCounters) {
     this.#socket = socket;
     this.#counters = peerCounters;
-    socket.on("message", (data: Buffer) => this.#take(data));
-    // An error is always followed by the close, which says all that matters here.
+    socket.on("message", (data: Buffer) => this.#handleData(data));
+    // An error is always followed by a close event, which is handled below.
     socket.on("error", () => socket.terminate());
     this.closed = new Promise((resolve) => {
       socket.once("close", () => {
         this.#isClosed = true;
-        this.#taker?.(undefined);
+        this.#reader?.(undefined);
         resolve();
       });
     });
@@ -58,7 +58,7 @@
     return this.#isClosed;
   }
 
-  /** Bytes that wait to be sent. */
+  /** Bytes queued to be sent. */
   get queuedBytes(): number {
     return this.#socket.bufferedAmount;
   }
@@ -67,7 +67,7 @@
     this.sendEncoded(encodeMessage(message));
   }
 
-  /** Sends a message that has been encoded before. */
+  /** Sends a message that is already encoded. */
   sendEncoded(bytes: Buffer): void {
     if (this.#socket.readyState !== this.#socket.OPEN) {
       return;
@@ -78,26 +78,26 @@
   }
 
   async next(timeoutMilliseconds: number): Promise<unknown> {
-    if (this.#waiting.length > 0) {
-      return this.#waiting.shift();
+    if (this.#unread.length > 0) {
+      return this.#unread.shift();
     }
     if (this.#isClosed) {
       return undefined;
     }
     return await new Promise((resolve) => {
-      const timer = setTimeout(() => this.#taker?.(undefined), timeoutMilliseconds);
-      this.#taker = (message) => {
+      const timer = setTimeout(() => this.#reader?.(undefined), timeoutMilliseconds);
+      this.#reader = (message) => {
         clearTimeout(timer);
-        this.#taker = undefined;
+        this.#reader = undefined;
         resolve(message);
       };
     });
   }
 
-  /** From now on hands each message to the listener, those that already wait first. */
+  /** Passes each message to the listener from now on, starting with those not yet read. */
   listen(listener: MessageListener): void {
     this.#listener = listener;
-    for (const message of this.#waiting.splice(0)) {
+    for (const message of this.#unread.splice(0)) {
       listener(message);
     }
   }
@@ -107,7 +107,7 @@
     this.#socket.terminate();
   }
 
-  #take(data: Buffer): void {
+  #handleData(data: Buffer): void {
     this.#counters.frames.inc({ direction: "received" });
     this.#counters.bytes.inc({ direction: "received" }, data.length);
     if (this.#listener !== undefined) {
@@ -115,17 +115,17 @@
       return;
     }
     const isExcessive = data.length > MAX_HANDSHAKE_MESSAGE_BYTES ||
-      this.#waiting.length >= MAX_WAITING_MESSAGES;
+      this.#unread.length >= MAX_UNREAD_MESSAGES;
     if (isExcessive) {
       this.#counters.drops.inc({ reason: "too_large" });
       this.terminate();
       return;
     }
     const message = decodeMessage(data);
-    if (this.#taker !== undefined) {
-      this.#taker(message);
+    if (this.#reader !== undefined) {
+      this.#reader(message);
     } else {
-      this.#waiting.push(message);
+      this.#unread.push(message);
     }
   }
 }
--- a/packages/fleet/src/rendezvous.ts
+++ b/packages/fleet/src/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
  * Rendezvous hashing: all VMs with the same view of the fleet pick the same owners, and a change of
- * the fleet moves few of them.
+ * the fleet changes the owners of few keys.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -10,8 +10,8 @@
 const createHasher = xxhash.default;
 const hasher = await createHasher();
 
-/** Hashes of candidates are kept, since the same few VMs are ranked for every key. */
-const MAX_KEPT_HASHES = 16_384;
+/** Hashes of candidates are cached, since the same few VMs are ranked for every key. */
+const MAX_CACHED_HASHES = 16_384;
 const candidateHashes = new Map<string, number>();
 
 /** A stable 32-bit hash of a text. */
@@ -24,7 +24,7 @@
   if (known !== undefined) {
     return known;
   }
-  if (candidateHashes.size >= MAX_KEPT_HASHES) {
+  if (candidateHashes.size >= MAX_CACHED_HASHES) {
     candidateHashes.clear();
   }
   const hash = hasher.h32(candidate);
@@ -32,7 +32,7 @@
   return hash;
 }
 
-/** Mixes two hashes into one score, by the finalizer of MurmurHash3. */
+/** Mixes two hashes into one score with the finalizer of MurmurHash3. */
 function mixHashes(candidateHash: number, keyHash: number): number {
   let hash = candidateHash ^ Math.imul(keyHash, 0x9e3779b1);
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
@@ -43,7 +43,7 @@
 /**
  * Ranks candidates as owners of a key, best first.
  *
- * @param count How many to return at the most.
+ * @param count Maximum number of candidates to return.
  */
 export function rankOwners<Candidate extends string>(
   key: string,
@@ -64,7 +64,10 @@
   return scored.slice(0, count).map((entry) => entry.candidate);
 }
 
-/** The first of {@link rankOwners} without sorting or allocation; undefined without candidates. */
+/**
+ * The first result of {@link rankOwners}, without sorting or allocation; undefined if there are no
+ * candidates.
+ */
 export function findOwner<Candidate extends string>(
   key: string,
   candidates: readonly Candidate[],
--- a/packages/fleet/src/testing/mod.ts
+++ b/packages/fleet/src/testing/mod.ts
@@ -1,6 +1,6 @@
 /**
- * An in-memory peer network for tests: several VMs in one process, with links that can be cut one
- * way, delayed, duplicated or silenced.
+ * An in-memory peer network for tests: several VMs in one process. Each direction of a link can be
+ * cut, delayed, or set to duplicate frames, and each VM can be paused.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -10,12 +10,12 @@
 import * as messaging from "../peer_messaging.ts";
 import type * as types from "../types.ts";
 
-/** How frames travel from one VM to another. Each direction has its own. */
+/** How frames are delivered from one VM to another. Each direction has its own settings. */
 export interface LinkBehaviour {
-  /** Frames vanish without notice. */
+  /** Frames are lost, and the sender receives no error. */
   cut: boolean;
   delayMilliseconds: number;
-  /** Each frame arrives this many times. */
+  /** Number of times that each frame is delivered. */
   copies: number;
 }
 
@@ -29,19 +29,19 @@
   /** Bytes sent so far, as encoded by msgpackr. */
   bytes = 0;
 
-  /** Adds a VM. Another network under the same identifier replaces the earlier one. */
+  /** Adds a VM. It replaces an earlier network with the same identifier. */
   connect(identity: types.VmIdentity): MemoryPeerNetwork {
     const network = new MemoryPeerNetwork(this, identity);
     this.#networks.set(identity.vm, network);
     return network;
   }
 
-  /** Removes a VM; frames to it vanish. */
+  /** Removes a VM. Frames sent to it are lost. */
   disconnect(vm: model.VmId): void {
     this.#networks.delete(vm);
   }
 
-  /** How frames travel in one direction. The caller may change it. */
+  /** Settings of one direction of a link. The caller may change them. */
   getLink(from: model.VmId, to: model.VmId): LinkBehaviour {
     const name = `${from} ${to}`;
     let behaviour = this.#behaviours.get(name);
@@ -52,14 +52,14 @@
     return behaviour;
   }
 
-  /** Holds everything that would arrive at a VM, as while its process is paused. */
+  /** Holds back all frames to a VM, as if its process were paused. */
   pause(vm: model.VmId): void {
     if (!this.#held.has(vm)) {
       this.#held.set(vm, []);
     }
   }
 
-  /** Delivers what was held. */
+  /** Delivers the frames that were held back. */
   resume(vm: model.VmId): void {
     const held = this.#held.get(vm) ?? [];
     this.#held.delete(vm);
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Moves a frame on behalf of a network. */
+  /** Delivers a frame for a network. */
   transmit(from: types.VmIdentity, to: model.VmId, frame: messaging.Frame): void {
     const bytes = msgpackr.pack(frame);
     this.frames++;
@@ -78,11 +78,11 @@
       return;
     }
     for (let copy = 0; copy < link.copies; copy++) {
-      setTimeout(() => this.#arrive(from, to, bytes), link.delayMilliseconds);
+      setTimeout(() => this.#deliver(from, to, bytes), link.delayMilliseconds);
     }
   }
 
-  #arrive(from: types.VmIdentity, to: model.VmId, bytes: Buffer): void {
+  #deliver(from: types.VmIdentity, to: model.VmId, bytes: Buffer): void {
     const deliver = () => {
       const frame: unknown = msgpackr.unpack(bytes);
       this.#networks.get(to)?.deliver(from, frame);
@@ -105,7 +105,7 @@
     this.#hub = hub;
   }
 
-  /** Takes a frame from the hub. */
+  /** Receives a frame from the hub. */
   deliver(from: types.VmIdentity, frame: unknown): void {
     this.receive(from, frame);
   }
@@ -123,7 +123,7 @@
   }
 }
 
-/** A membership that the test sets. */
+/** A membership whose members are set by the test. */
 export class FixedMembership implements types.Membership {
   readonly self: types.VmIdentity;
   readonly #listeners: (() => void)[] = [];
@@ -142,7 +142,7 @@
     this.#listeners.push(listener);
   }
 
-  /** Replaces the view and tells the listeners. */
+  /** Replaces the members and calls the listeners. */
   set(members: readonly types.Member[]): void {
     this.#members = members;
     for (const listener of this.#listeners) {
--- a/packages/fleet/src/types.ts
+++ b/packages/fleet/src/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types through which other packages see the fleet.
+ * Public types of the fleet.
  */
 
 import type * as kernel from "@hemlockwalk/kernel";
@@ -7,14 +7,14 @@
 import type * as neverthrow from "neverthrow";
 import type * as errors from "./errors.ts";
 
-/** Who a VM is. */
+/** Identity of one process of a VM. */
 export interface VmIdentity {
   readonly vm: model.VmId;
   readonly incarnation: model.Incarnation;
   readonly dataCentre: model.DataCentreId;
 }
 
-/** The name of a kind of message between VMs, such as `limits.lease`. */
+/** Name of a kind of message between VMs, such as `limits.lease`. */
 export type ChannelName = model.Brand<string, "ChannelName">;
 
 /** A received message. */
@@ -25,21 +25,24 @@
   readonly payload: unknown;
 }
 
-/** Handles a message. What it returns answers a call and is dropped for a plain message. */
+/** Handles a message. The result is the response to a call; it is ignored for a plain message. */
 export type PeerHandler = (message: PeerMessage) => unknown;
 
-/** Messages between VMs. Any of them may be lost, late, duplicated or go one way only. */
+/**
+ * Messages between VMs. A message may be lost, delayed or duplicated, and a link may work in one
+ * direction only.
+ */
 export interface PeerNetwork extends kernel.Service {
   readonly self: VmIdentity;
   /** Handles all messages of a channel. Each channel has one handler. */
   handle(channel: ChannelName, handler: PeerHandler): void;
-  /** Sends without waiting. The result tells only whether the message was queued. */
+  /** Sends without waiting. The result reports only whether the message was queued. */
   send(
     to: model.VmId,
     channel: ChannelName,
     payload: unknown,
   ): neverthrow.Result<void, errors.PeerError>;
-  /** Sends a message and waits for the answer. */
+  /** Sends a message and waits for the response. */
   call(
     to: model.VmId,
     channel: ChannelName,
@@ -48,13 +51,13 @@
   ): Promise<neverthrow.Result<unknown, errors.PeerError>>;
 }
 
-/** What this VM believes of another. */
+/** A VM of the fleet as this VM sees it. */
 export interface Member {
   readonly vm: model.VmId;
   readonly dataCentre: model.DataCentreId;
   /** Address of its peer listener. */
   readonly address: string;
-  /** Undefined until the VM itself has been heard. */
+  /** Undefined while the VM is only listed and has not been reached yet. */
   readonly incarnation: model.Incarnation | undefined;
   readonly state: "live" | "suspect" | "leaving";
 }
@@ -67,7 +70,7 @@
   onChange(listener: () => void): void;
 }
 
-/** One entry of the platform's list of VMs. It lags. */
+/** One entry of the platform's list of VMs, which may be out of date. */
 export interface ListedVm {
   readonly vm: model.VmId;
   /** Address of its peer listener. */
@@ -76,8 +79,8 @@
   readonly state: "live" | "leaving";
 }
 
-/** Where the platform's list of VMs comes from. */
+/** Source of the platform's list of VMs. */
 export interface VmListSource extends kernel.Service {
-  /** Calls the listener with each list that was read. */
+  /** Adds a listener that is called with each list that was read. */
   onList(listener: (vms: readonly ListedVm[]) => void): void;
 }
--- a/packages/fleet/src/vm_listing.ts
+++ b/packages/fleet/src/vm_listing.ts
@@ -1,26 +1,27 @@
 /**
- * VMs that are known from the platform's list, from settings, or from earlier, heard or not.
+ * VMs known from the platform's list, the seeds in the settings, or earlier views, whether or not
+ * they have been reached.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 import type * as model from "@hemlockwalk/model";
 import type * as types from "./types.ts";
 
-/** A listed VM that nobody has heard for so long is left out of the view. */
-const UNHEARD_LIMIT_MILLISECONDS = 10_000;
+/** How long after its first listing a VM without an entry stays in the view. */
+const LISTING_GRACE_MILLISECONDS = 10_000;
 
-/** VMs that were heard once and are tried again, since a partition may end. */
-const MAX_REMEMBERED = 2_048;
+/** Maximum number of former members that are contacted again, since a partition may end. */
+const MAX_FORMER_MEMBERS = 2_048;
 
 interface Listing {
   readonly vm: types.ListedVm;
-  readonly since: number;
+  readonly listedAt: number;
 }
 
 /** Keeps the latest list, the seeds and the VMs of earlier views. */
 export class VmListing {
   readonly #seeds: ReadonlyMap<model.VmId, Listing>;
-  readonly #remembered = new Map<model.VmId, types.ListedVm>();
+  readonly #formerMembers = new Map<model.VmId, types.ListedVm>();
   #listed: ReadonlyMap<model.VmId, Listing> = new Map();
 
   constructor(seeds: readonly types.ListedVm[]) {
@@ -28,9 +29,9 @@
   }
 
   /**
-   * Takes a new list over.
+   * Replaces the list.
    *
-   * @returns VMs that were on the list before and are not any more.
+   * @returns VMs that were on the previous list and are not on the new one.
    */
   replace(vms: readonly types.ListedVm[]): model.VmId[] {
     const previous = this.#listed;
@@ -39,48 +40,48 @@
   }
 
   find(vm: model.VmId): types.ListedVm | undefined {
-    return this.#listed.get(vm)?.vm ?? this.#seeds.get(vm)?.vm ?? this.#remembered.get(vm);
+    return this.#listed.get(vm)?.vm ?? this.#seeds.get(vm)?.vm ?? this.#formerMembers.get(vm);
   }
 
   isLeaving(vm: model.VmId): boolean {
     return this.#listed.get(vm)?.vm.state === "leaving";
   }
 
-  /** Remembers where a VM was that is no longer in the view. */
-  remember(vm: types.ListedVm): void {
-    this.#remembered.delete(vm.vm);
-    this.#remembered.set(vm.vm, vm);
-    if (this.#remembered.size > MAX_REMEMBERED) {
-      const oldest = this.#remembered.keys().next().value;
+  /** Keeps the address of a VM that is no longer in the view. */
+  addFormerMember(vm: types.ListedVm): void {
+    this.#formerMembers.delete(vm.vm);
+    this.#formerMembers.set(vm.vm, vm);
+    if (this.#formerMembers.size > MAX_FORMER_MEMBERS) {
+      const oldest = this.#formerMembers.keys().next().value;
       if (oldest !== undefined) {
-        this.#remembered.delete(oldest);
+        this.#formerMembers.delete(oldest);
       }
     }
   }
 
-  /** VMs that were listed so recently that they may just not have been heard yet. */
-  listUnheard(): types.ListedVm[] {
+  /** VMs that were listed so recently that they may not have been reached yet. */
+  listRecent(): types.ListedVm[] {
     const now = kernel.getMonotonicMilliseconds();
-    const unheard: types.ListedVm[] = [];
+    const recent: types.ListedVm[] = [];
     for (const listing of [...this.#listed.values(), ...this.#seeds.values()]) {
-      if (now - listing.since < UNHEARD_LIMIT_MILLISECONDS) {
-        unheard.push(listing.vm);
+      if (now - listing.listedAt < LISTING_GRACE_MILLISECONDS) {
+        recent.push(listing.vm);
       }
     }
-    return unheard;
+    return recent;
   }
 
   /**
-   * Picks a VM to be tried. Those on the list and the others have the same share of the tries.
+   * Picks a VM to contact. Listed VMs and former members each get half of the attempts.
    *
-   * @param isWanted Whether a VM is out of touch.
+   * @param isWanted Whether a VM may be picked.
    */
   pickRandom(isWanted: (vm: model.VmId) => boolean): model.VmId | undefined {
     const listed = [...this.#listed.keys(), ...this.#seeds.keys()].filter(isWanted);
-    const remembered = [...this.#remembered.keys()].filter(isWanted);
-    const pool = remembered.length === 0 || (listed.length > 0 && Math.random() < 0.5)
+    const formerMembers = [...this.#formerMembers.keys()].filter(isWanted);
+    const pool = formerMembers.length === 0 || (listed.length > 0 && Math.random() < 0.5)
       ? listed
-      : remembered;
+      : formerMembers;
     return pool[Math.floor(Math.random() * pool.length)];
   }
 }
@@ -91,6 +92,6 @@
 ): Map<model.VmId, Listing> {
   const now = kernel.getMonotonicMilliseconds();
   return new Map(
-    vms.map((vm) => [vm.vm, { vm, since: previous.get(vm.vm)?.since ?? now }]),
+    vms.map((vm) => [vm.vm, { vm, listedAt: previous.get(vm.vm)?.listedAt ?? now }]),
   );
 }
--- a/packages/fleet/src/web_socket_peer_network.ts
+++ b/packages/fleet/src/web_socket_peer_network.ts
@@ -1,5 +1,5 @@
 /**
- * Peer links over WebSockets: at most one in use for each pair of VMs, opened on demand.
+ * Peer links over WebSockets. Each pair of VMs uses at most one link, which is opened on demand.
  */
 
 import type * as net from "node:net";
@@ -16,10 +16,10 @@
 import * as sockets from "./peer_socket.ts";
 import type * as types from "./types.ts";
 
-/** A peer that has so many bytes waiting gets no more frames until it takes some. */
+/** No more frames are sent to a peer while more than this many bytes are queued for it. */
 const MAX_QUEUED_BYTES = 2 * 1_048_576;
 
-/** Bytes that wait while the first connection to a peer is being opened. */
+/** Maximum number of bytes queued for a peer while a connection to it is being opened. */
 const MAX_WAITING_BYTES = 262_144;
 
 const CONNECT_TIMEOUT_MILLISECONDS = 2_000;
@@ -27,17 +27,17 @@
 const MAX_BACKOFF_MILLISECONDS = 3_000;
 
 /**
- * Connections that may be in the handshake at once, before any of them is proven. Each may make this
- * VM hold one message of the greatest size, so a stranger must not have many.
+ * Maximum number of connections in the handshake before another one is refused. Each
+ * unauthenticated client may make this VM buffer one message of the maximum size.
  */
-const MAX_ACCEPTING = 32;
+const MAX_PENDING_HANDSHAKES = 32;
 
-/** A second link between the same VMs stays open so long for what is under way on it. */
-const REPLACED_GRACE_MILLISECONDS = 1_000;
+/** How long a replaced link stays open for frames that are still in transit on it. */
+const REPLACED_LINK_GRACE_MILLISECONDS = 1_000;
 
-/** What a network needs to know about peers. */
+/** Looks up the addresses and incarnations of peers. */
 export interface PeerDirectory {
-  /** Address of a VM's peer listener; undefined when it is not known. */
+  /** Address of a VM's peer listener; undefined if it is not known. */
   findAddress(vm: model.VmId): string | undefined;
   /** Whether no later incarnation of the VM is known. */
   isLatest(vm: model.VmId, incarnation: model.Incarnation): boolean;
@@ -45,7 +45,7 @@
 
 /** Settings of a network. */
 export interface PeerNetworkOptions {
-  /** IP number and port of the listener; port 0 takes a free one. */
+  /** IP address and port of the listener; port 0 selects a free one. */
   readonly address: string;
   readonly secrets: secrets.PeerSecretSource;
   readonly counters: counters.PeerCounters;
@@ -68,7 +68,7 @@
   readonly #peers = new Map<model.VmId, Peer>();
   readonly #links = new Set<links.PeerLink>();
   readonly #tasks = new Set<Promise<void>>();
-  readonly #unproven = new Set<sockets.PeerSocket>();
+  readonly #pendingHandshakes = new Set<sockets.PeerSocket>();
   #directory: PeerDirectory | undefined;
   #server: ws.WebSocketServer | undefined;
   #isStopped = false;
@@ -78,30 +78,30 @@
     this.#options = options;
   }
 
-  /** The port that the listener is bound to. */
+  /** Port that the listener is bound to. */
   get port(): number {
     const address = this.#server?.address() as net.AddressInfo | undefined;
     return kernel.getDefined(address, "The network has started.").port;
   }
 
-  /** Number of links that are open. */
+  /** Number of open links. */
   get openLinks(): number {
     return this.#links.size;
   }
 
-  /** Sets where the network looks peers up. Called once, before the start. */
+  /** Sets the directory in which the network looks up peers. Called once, before the start. */
   useDirectory(directory: PeerDirectory): void {
     this.#directory = directory;
   }
 
   async start(): Promise<void> {
-    const place = kernel.getDefined(
+    const address = kernel.getDefined(
       model.splitSocketAddress(this.#options.address),
-      "Settings hold checked addresses.",
+      "Addresses in settings are validated.",
     );
     const server = new ws.WebSocketServer({
-      host: place.host,
-      port: place.port,
+      host: address.host,
+      port: address.port,
       maxPayload: sockets.MAX_MESSAGE_BYTES,
       perMessageDeflate: false,
     });
@@ -122,14 +122,14 @@
     for (const link of this.#links) {
       link.end("stopped");
     }
-    for (const socket of this.#unproven) {
+    for (const socket of this.#pendingHandshakes) {
       socket.terminate();
     }
     this.failCalls("The network has stopped.");
     await Promise.all(this.#tasks);
   }
 
-  /** Ends the links of incarnations that the directory no longer takes for the latest. */
+  /** Ends the links to incarnations that are no longer the latest according to the directory. */
   dropStaleLinks(): void {
     for (const link of this.#links) {
       if (!this.#isLatest(link.peer.vm, link.peer.incarnation)) {
@@ -164,7 +164,7 @@
     this.#options.counters.sentBytes.inc({ part: messaging.getPart(frame.channel) }, bytes.length);
     const peer = this.#getPeer(to);
     if (peer.link?.isOpen !== true) {
-      return this.#dialFor(to, peer, bytes);
+      return this.#queueForDial(to, peer, bytes);
     }
     if (peer.link.queuedBytes > MAX_QUEUED_BYTES) {
       return this.#refuse("queue_full", to);
@@ -181,7 +181,7 @@
     return neverthrow.err({ kind, detail });
   }
 
-  #dialFor(
+  #queueForDial(
     to: model.VmId,
     peer: Peer,
     bytes: Buffer,
@@ -205,7 +205,7 @@
     return neverthrow.ok();
   }
 
-  /** The task of a connection that this VM opens. */
+  /** Opens a connection to a peer and operates the link on it. */
   async #dial(to: model.VmId, peer: Peer, address: string): Promise<void> {
     const socket = await this.#connect(address);
     if (socket === undefined) {
@@ -213,9 +213,9 @@
       this.#delayNextDial(to, peer);
       return;
     }
-    const greeted = await this.#greet(
+    const peerIdentity = await this.#completeHandshake(
       socket,
-      handshake.greetAsDialler(
+      handshake.handshakeAsDialler(
         socket,
         this.self,
         to,
@@ -223,37 +223,37 @@
         (vm, incarnation) => this.#isLatest(vm, incarnation),
       ),
     );
-    if (greeted === undefined) {
+    if (peerIdentity === undefined) {
       this.#delayNextDial(to, peer);
       return;
     }
     peer.isDialling = false;
-    await this.#serve(new links.PeerLink(greeted, true, socket, this));
+    await this.#runLink(new links.PeerLink(peerIdentity, true, socket, this));
   }
 
-  /** The task of a connection that another VM opened. */
+  /** Authenticates a connection that another VM opened and operates the link on it. */
   async #accept(webSocket: ws.WebSocket): Promise<void> {
     const socket = new sockets.PeerSocket(webSocket, this.#options.counters);
-    if (this.#unproven.size >= MAX_ACCEPTING || this.#isStopped) {
+    if (this.#pendingHandshakes.size >= MAX_PENDING_HANDSHAKES || this.#isStopped) {
       this.#options.counters.drops.inc({ reason: "overloaded" });
       socket.terminate();
       return;
     }
-    const greeted = await this.#greet(
+    const peerIdentity = await this.#completeHandshake(
       socket,
-      handshake.greetAsAcceptor(
+      handshake.handshakeAsAcceptor(
         socket,
         this.self,
         this.#options.secrets,
         (vm, incarnation) => this.#isLatest(vm, incarnation),
       ),
     );
-    if (greeted !== undefined) {
-      await this.#serve(new links.PeerLink(greeted, false, socket, this));
+    if (peerIdentity !== undefined) {
+      await this.#runLink(new links.PeerLink(peerIdentity, false, socket, this));
     }
   }
 
-  /** Links leave from the IP number that the settings give, so that firewalls can name it. */
+  /** Outgoing links use the IP address from the settings, so that firewall rules can match it. */
   #getLocalAddress(): { readonly localAddress?: string } {
     const host = model.splitSocketAddress(this.#options.address)?.host;
     const isAnyAddress = host === undefined || host === "0.0.0.0" || host === "::";
@@ -275,26 +275,26 @@
     return isOpen ? socket : undefined;
   }
 
-  async #greet(
+  async #completeHandshake(
     socket: sockets.PeerSocket,
-    greeting: Promise<neverthrow.Result<types.VmIdentity, errors.HandshakeRefusal>>,
+    pendingResult: Promise<neverthrow.Result<types.VmIdentity, errors.HandshakeRefusal>>,
   ): Promise<types.VmIdentity | undefined> {
-    this.#unproven.add(socket);
-    const greeted = await greeting;
-    this.#unproven.delete(socket);
-    if (greeted.isOk() && !this.#isStopped) {
-      return greeted.value;
+    this.#pendingHandshakes.add(socket);
+    const result = await pendingResult;
+    this.#pendingHandshakes.delete(socket);
+    if (result.isOk() && !this.#isStopped) {
+      return result.value;
     }
     socket.terminate();
-    if (greeted.isErr() && !this.#isStopped) {
-      const reason = socket.isClosed && greeted.error === "timeout" ? "closed" : greeted.error;
+    if (result.isErr() && !this.#isStopped) {
+      const reason = socket.isClosed && result.error === "timeout" ? "closed" : result.error;
       this.#options.counters.handshakesRefused.inc({ reason });
-      this.#options.logger.warn("A connection did not become a link.", { reason });
+      this.#options.logger.warn("Peer handshake failed.", { reason });
     }
     return undefined;
   }
 
-  async #serve(link: links.PeerLink): Promise<void> {
+  async #runLink(link: links.PeerLink): Promise<void> {
     const { counters: peerCounters } = this.#options;
     const peer = this.#getPeer(link.peer.vm);
     this.#links.add(link);
@@ -302,27 +302,27 @@
       role: link.isDialled ? "dialler" : "acceptor",
       again: String(peer.hadLink),
     });
-    this.#adopt(peer, link);
+    this.#selectLink(peer, link);
     const end = await link.run();
     this.#links.delete(link);
     peerCounters.linksEnded.inc({ reason: end });
     if (peer.link === link) {
       peer.link = undefined;
       this.failCalls("The link ended.", link.peer.vm);
-      this.#forgetUnknown(link.peer.vm, peer);
+      this.#removeUnknownPeer(link.peer.vm, peer);
     }
   }
 
-  /** Keeps the table of peers from growing with every VM that ever was. */
-  #forgetUnknown(vm: model.VmId, peer: Peer): void {
+  /** Removes a peer that has left the fleet, so that the table of peers does not grow forever. */
+  #removeUnknownPeer(vm: model.VmId, peer: Peer): void {
     const isIdle = peer.link === undefined && !peer.isDialling;
     if (isIdle && this.#directory?.findAddress(vm) === undefined) {
       this.#peers.delete(vm);
     }
   }
 
-  /** Makes a new link the one in use, or leaves the present one in use. Both ends choose alike. */
-  #adopt(peer: Peer, link: links.PeerLink): void {
+  /** Selects the new link or keeps the current one. Both ends make the same choice. */
+  #selectLink(peer: Peer, link: links.PeerLink): void {
     const present = peer.link;
     peer.hadLink = true;
     peer.failures = 0;
@@ -342,13 +342,13 @@
     if (present.peer.incarnation !== added.peer.incarnation) {
       return false;
     }
-    // Of two VMs that dialled at once, the connection of the lower identifier stays.
+    // If two VMs dialled each other at once, the link opened by the lower identifier is kept.
     const isLower = this.self.vm < present.peer.vm;
     return present.isDialled !== added.isDialled && present.isDialled === isLower;
   }
 
   #endReplaced(link: links.PeerLink): void {
-    const timer = setTimeout(() => link.end("replaced"), REPLACED_GRACE_MILLISECONDS);
+    const timer = setTimeout(() => link.end("replaced"), REPLACED_LINK_GRACE_MILLISECONDS);
     timer.unref?.();
   }
 
@@ -366,7 +366,7 @@
       MIN_BACKOFF_MILLISECONDS * 2 ** Math.min(peer.failures, 10),
     );
     peer.failures++;
-    // Half of the delay is random, so that VMs that lost a peer together do not return together.
+    // Half of the delay is random, so that VMs that lost a peer at once do not reconnect at once.
     const delay = ceiling * (0.5 + Math.random() / 2);
     peer.retryAt = kernel.getMonotonicMilliseconds() + delay;
     if (peer.link === undefined) {
@@ -374,7 +374,7 @@
       peer.waiting.length = 0;
       peer.waitingBytes = 0;
       this.failCalls("The peer cannot be reached.", to);
-      this.#forgetUnknown(to, peer);
+      this.#removeUnknownPeer(to, peer);
     }
   }
 
--- a/packages/fleet/test/gossip_membership_test.ts
+++ b/packages/fleet/test/gossip_membership_test.ts
@@ -1,5 +1,5 @@
 /**
- * Views of the fleet under cuts, pauses, deaths, replacements and a wrong list.
+ * Views of the fleet under cut links, pauses, deaths, replacements and an outdated list.
  */
 
 import assert from "node:assert/strict";
@@ -10,11 +10,11 @@
 const VMS = 8;
 const DATA_CENTRES = 3;
 
-/** A VM that died alone is out of every view after this time. */
+/** A single dead VM must have left every view after this time. */
 const DEATH_BOUND_MILLISECONDS = 8_000;
 
-/** All views agree so long after everything healed. */
-const QUIET_MILLISECONDS = 30_000;
+/** All views must agree this long after the last fault ended. */
+const CONVERGENCE_MILLISECONDS = 30_000;
 
 async function withFleet(
   action: (fleet: simulation.SimulatedFleet) => Promise<void>,
@@ -30,9 +30,9 @@
 }
 
 function assertViewsAgree(fleet: simulation.SimulatedFleet): void {
-  const truth = fleet.describeTruth();
+  const expectedView = fleet.describeExpectedView();
   for (const vm of fleet.vms.values()) {
-    assert.equal(vm.describeView(), truth, `view of ${vm.identity.vm}`);
+    assert.equal(vm.describeView(), expectedView, `view of ${vm.identity.vm}`);
   }
 }
 
@@ -92,7 +92,7 @@
 }
 
 test.describe("membership", () => {
-  test.it("brings all views together after any history", async () => {
+  test.it("makes all views agree after any history", async () => {
     await fc.assert(
       fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 25 }), async (steps) => {
         await withFleet(async (fleet) => {
@@ -101,7 +101,7 @@
           }
           fleet.heal();
           fleet.publishList();
-          await fleet.clock.advance(QUIET_MILLISECONDS, 50);
+          await fleet.clock.advance(CONVERGENCE_MILLISECONDS, 50);
           assertViewsAgree(fleet);
         });
       }),
@@ -114,11 +114,11 @@
     await fc.assert(
       fc.asyncProperty(fc.array(cut, { minLength: 2, maxLength: 6 }), async (cuts) => {
         await withFleet(async (fleet) => {
-          const touched = new Map<number, number>();
+          const usedVms = new Map<number, number>();
           for (const [from, to] of cuts) {
-            // With at most one cut at each VM, one of three other VMs always reaches it.
-            if (from !== to && !touched.has(from) && !touched.has(to)) {
-              touched.set(from, 1).set(to, 1);
+            // With at most one cut at each VM, at least one of three other VMs reaches it.
+            if (from !== to && !usedVms.has(from) && !usedVms.has(to)) {
+              usedVms.set(from, 1).set(to, 1);
               fleet.setCut(fleet.getName(from), fleet.getName(to), true);
             }
           }
@@ -141,33 +141,33 @@
     });
   });
 
-  test.it("drops nobody when a VM was paused or hears nobody", async () => {
+  test.it("drops no other VM when a VM can send but not receive", async () => {
     await withFleet(async (fleet) => {
-      const lonely = fleet.getName(3);
-      const vm = fleet.vms.get(lonely);
+      const isolated = fleet.getName(3);
+      const vm = fleet.vms.get(isolated);
       assert.ok(vm);
       for (const other of fleet.vms.keys()) {
-        fleet.setCut(other, lonely, other !== lonely);
+        fleet.setCut(other, isolated, other !== isolated);
       }
       await fleet.clock.advance(20_000, 50);
       const view = vm.membership.listMembers();
       assert.equal(view.length, VMS);
-      assert.equal(view.find((member) => member.vm === lonely)?.state, "suspect");
-      // The others give up the VM that can send and cannot hear, and nobody else.
+      assert.equal(view.find((member) => member.vm === isolated)?.state, "suspect");
+      // The others drop the VM that can send but not receive, and no other VM.
       for (const other of fleet.vms.values()) {
         assert.equal(other.membership.listMembers().length, other === vm ? VMS : VMS - 1);
       }
       fleet.heal();
-      await fleet.clock.advance(QUIET_MILLISECONDS, 50);
+      await fleet.clock.advance(CONVERGENCE_MILLISECONDS, 50);
       assertViewsAgree(fleet);
     });
   });
 
-  test.it("takes no message of an incarnation that has been replaced", async () => {
+  test.it("refuses messages of an incarnation that has been replaced", async () => {
     await withFleet(async (fleet) => {
       const earlier = fleet.vms.get(fleet.getName(4));
       assert.ok(earlier);
-      // The earlier process runs on and goes on sending under the same identifier.
+      // The earlier process keeps running and sending under the same identifier.
       fleet.add(4, fleet.listSeeds());
       await fleet.clock.advance(20_000, 50);
       assertViewsAgree(fleet);
@@ -178,13 +178,13 @@
       );
       assert.ok(refusals.some((count) => count > 0));
       const stopped = earlier.membership.stop();
-      await fleet.clock.advance(QUIET_MILLISECONDS, 50);
+      await fleet.clock.advance(CONVERGENCE_MILLISECONDS, 50);
       await stopped;
       assertViewsAgree(fleet);
     });
   });
 
-  test.it("joins two regions that were parted for longer than deaths are kept", async () => {
+  test.it("joins two regions after a partition that outlasts the entries of dead VMs", async () => {
     await withFleet(async (fleet) => {
       const isNorth = (name: string) => Number(name.slice(3)) % DATA_CENTRES === 0;
       for (const from of fleet.vms.keys()) {
@@ -198,7 +198,7 @@
         assert.ok(own.every((side) => side === isNorth(vm.identity.vm)));
       }
       fleet.heal();
-      await fleet.clock.advance(QUIET_MILLISECONDS, 50);
+      await fleet.clock.advance(CONVERGENCE_MILLISECONDS, 50);
       assertViewsAgree(fleet);
     }, 9);
   });
--- a/packages/fleet/test/peer_handshake_test.ts
+++ b/packages/fleet/test/peer_handshake_test.ts
@@ -1,5 +1,6 @@
 /**
- * Proofs of the shared secret: wrong, replayed, reflected, and during a rotation.
+ * Handshakes with a correct, wrong, replayed or reflected proof, and during a rotation of the
+ * secret.
  */
 
 import assert from "node:assert/strict";
@@ -25,11 +26,11 @@
   return { read: () => Promise.resolve(neverthrow.ok(known)) };
 }
 
-/** One end of a connection in memory that records what it sent. */
+/** One end of an in-memory connection that records the messages it sent. */
 class RecordingChannel implements handshake.HandshakeChannel {
   readonly sent: unknown[] = [];
-  readonly #arrived: unknown[] = [];
-  #taker: ((message: unknown) => void) | undefined;
+  readonly #unread: unknown[] = [];
+  #reader: ((message: unknown) => void) | undefined;
   other: RecordingChannel | undefined;
 
   send(message: unknown): void {
@@ -38,20 +39,20 @@
   }
 
   deliver(message: unknown): void {
-    if (this.#taker === undefined) {
-      this.#arrived.push(message);
+    if (this.#reader === undefined) {
+      this.#unread.push(message);
       return;
     }
-    this.#taker(message);
-    this.#taker = undefined;
+    this.#reader(message);
+    this.#reader = undefined;
   }
 
   next(): Promise<unknown> {
-    if (this.#arrived.length > 0) {
-      return Promise.resolve(this.#arrived.shift());
+    if (this.#unread.length > 0) {
+      return Promise.resolve(this.#unread.shift());
     }
     return new Promise((resolve) => {
-      this.#taker = resolve;
+      this.#reader = resolve;
     });
   }
 }
@@ -66,18 +67,18 @@
 
 const acceptAny = () => true;
 
-async function greet(diallerSecrets: string[], acceptorSecrets: string[]) {
+async function runHandshake(diallerSecrets: string[], acceptorSecrets: string[]) {
   const dialler = createIdentity("vm-1");
   const acceptor = createIdentity("vm-2");
   const [left, right] = createChannelPair();
-  const dialling = handshake.greetAsDialler(
+  const dialling = handshake.handshakeAsDialler(
     left,
     dialler,
     acceptor.vm,
     createSource(...diallerSecrets),
     acceptAny,
   );
-  const accepted = await handshake.greetAsAcceptor(
+  const accepted = await handshake.handshakeAsAcceptor(
     right,
     acceptor,
     createSource(...acceptorSecrets),
@@ -90,25 +91,25 @@
 }
 
 test.describe("peer handshake", () => {
-  test.it("accepts the same secret, and either one during a rotation", async () => {
-    const same = await greet([NEW_SECRET], [NEW_SECRET]);
+  test.it("accepts the same secret, and either secret during a rotation", async () => {
+    const same = await runHandshake([NEW_SECRET], [NEW_SECRET]);
     assert.deepEqual(same.dialled._unsafeUnwrap(), same.acceptor);
     assert.deepEqual(same.accepted._unsafeUnwrap(), same.dialler);
-    const rotating = await greet([NEW_SECRET, OLD_SECRET], [OLD_SECRET, NEW_SECRET]);
+    const rotating = await runHandshake([NEW_SECRET, OLD_SECRET], [OLD_SECRET, NEW_SECRET]);
     assert.ok(rotating.dialled.isOk() && rotating.accepted.isOk());
   });
 
-  test.it("refuses a wrong secret before it proves anything itself", async () => {
-    const wrong = await greet([OLD_SECRET], [NEW_SECRET]);
+  test.it("refuses a wrong secret before the acceptor sends a proof", async () => {
+    const wrong = await runHandshake([OLD_SECRET], [NEW_SECRET]);
     assert.equal(wrong.accepted._unsafeUnwrapErr(), "wrong_proof");
     assert.equal(wrong.dialled._unsafeUnwrapErr(), "timeout");
     assert.equal(wrong.right.sent.length, 1);
   });
 
   test.it("refuses a recorded handshake on another connection", async () => {
-    const recorded = await greet([NEW_SECRET], [NEW_SECRET]);
+    const recorded = await runHandshake([NEW_SECRET], [NEW_SECRET]);
     const [attacker, victim] = createChannelPair();
-    const accepting = handshake.greetAsAcceptor(
+    const accepting = handshake.handshakeAsAcceptor(
       victim,
       recorded.acceptor,
       createSource(NEW_SECRET),
@@ -120,11 +121,11 @@
     assert.equal((await accepting)._unsafeUnwrapErr(), "wrong_proof");
   });
 
-  test.it("refuses its own proof sent back by an acceptor without the secret", async () => {
+  test.it("refuses its own proof reflected by an acceptor without the secret", async () => {
     const dialler = createIdentity("vm-1");
     const impostor = createIdentity("vm-2");
     const [victim, attacker] = createChannelPair();
-    const dialling = handshake.greetAsDialler(
+    const dialling = handshake.handshakeAsDialler(
       victim,
       dialler,
       impostor.vm,
@@ -137,7 +138,7 @@
     assert.equal((await dialling)._unsafeUnwrapErr(), "wrong_proof");
   });
 
-  test.it("reads one or two long secrets and nothing else", () => {
+  test.it("accepts only files with one or two secrets of sufficient length", () => {
     assert.ok(secrets.parseSecrets(`${OLD_SECRET}\n${NEW_SECRET}\n`).isOk());
     assert.ok(secrets.parseSecrets("short\n").isErr());
     assert.ok(secrets.parseSecrets("").isErr());
--- a/packages/fleet/test/rendezvous_test.ts
+++ b/packages/fleet/test/rendezvous_test.ts
@@ -1,5 +1,5 @@
 /**
- * Owners by rendezvous hashing.
+ * Rendezvous hashing: keys that move, and the balance between owners.
  */
 
 import assert from "node:assert/strict";
--- a/packages/fleet/test/simulated_fleet.ts
+++ b/packages/fleet/test/simulated_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Several VMs with their memberships over an in-memory network, for tests and measurement.
+ * Several VMs with their memberships over an in-memory network, for tests and benchmarks.
  */
 
 import * as testRunner from "node:test";
@@ -10,8 +10,8 @@
 import * as testing from "../src/testing/mod.ts";
 import type * as types from "../src/types.ts";
 
-/** The platform's list, given out when the test says so. */
-export class ListStandin implements types.VmListSource {
+/** Stands in for the platform's list of VMs. The test decides when it is published. */
+export class VmListStandin implements types.VmListSource {
   readonly #listeners: ((vms: readonly types.ListedVm[]) => void)[] = [];
 
   onList(listener: (vms: readonly types.ListedVm[]) => void): void {
@@ -30,7 +30,7 @@
   readonly identity: types.VmIdentity;
   readonly network: testing.MemoryPeerNetwork;
   readonly membership: fleet.GossipMembership;
-  readonly list = new ListStandin();
+  readonly list = new VmListStandin();
   readonly metrics = new kernel.Metrics();
   readonly pauses = { lastResumeMilliseconds: Number.NEGATIVE_INFINITY };
 
@@ -58,7 +58,7 @@
     });
   }
 
-  /** Members other than doubtful ones, as `vm/incarnation`. */
+  /** Members of the VM's view, as `vm/incarnation/state`. */
   describeView(): string {
     return this.membership.listMembers()
       .map((member) => `${member.vm}/${member.incarnation ?? "?"}/${member.state}`)
@@ -71,7 +71,7 @@
   }
 }
 
-/** A generator of numbers from 0 to 1, so that a history runs the same way again (mulberry32). */
+/** Creates a seeded generator of numbers from 0 to 1 (mulberry32), so that runs are repeatable. */
 function createRandom(seed: number): () => number {
   let state = seed;
   return () => {
@@ -82,7 +82,7 @@
   };
 }
 
-/** A fleet on the tests' clock. */
+/** A fleet on the test clock. */
 export class SimulatedFleet {
   readonly hub = new testing.MemoryHub();
   readonly clock = new kernelTesting.TestClock();
@@ -102,7 +102,7 @@
     return `vm-${String(index).padStart(3, "0")}`;
   }
 
-  /** Adds a VM, in place of an earlier one of the same index if there is one. */
+  /** Adds a VM. It replaces an earlier one with the same index. */
   add(index: number, seeds: readonly types.ListedVm[]): SimulatedVm {
     this.#lastIncarnation++;
     const name = this.getName(index);
@@ -113,7 +113,7 @@
     return vm;
   }
 
-  /** Starts so many VMs that know the first three as seeds. */
+  /** Starts the given number of VMs, with the first three as seeds. */
   async start(count: number): Promise<void> {
     for (let index = 0; index < count; index++) {
       this.add(index, this.listSeeds());
@@ -130,7 +130,7 @@
     }));
   }
 
-  /** Ends a VM without notice. */
+  /** Ends a VM without a leaving announcement. */
   async kill(name: string): Promise<void> {
     const vm = this.vms.get(name);
     if (vm === undefined) {
@@ -140,7 +140,7 @@
     this.#paused.delete(name);
     this.hub.disconnect(vm.identity.vm);
     this.hub.resume(vm.identity.vm);
-    // What a dead VM would still send is cut.
+    // The links are cut while the VM stops, so that the messages of its planned stop are lost.
     const others = [...this.vms.values()].map((other) => other.identity.vm);
     for (const other of others) {
       this.hub.getLink(vm.identity.vm, other).cut = true;
@@ -190,7 +190,7 @@
     this.#applyLinks();
   }
 
-  /** Gives the list of VMs as it is now to the given VMs. */
+  /** Publishes the current list of VMs to the given VMs. */
   publishList(recipients: Iterable<SimulatedVm> = this.vms.values()): void {
     const list = [...this.vms.values()].map((vm): types.ListedVm => ({
       vm: vm.identity.vm,
@@ -203,15 +203,15 @@
     }
   }
 
-  /** What every VM's view should be in calm. */
-  describeTruth(): string {
+  /** The view that every VM must have when no fault is active. */
+  describeExpectedView(): string {
     return [...this.vms.values()]
       .sort((left, right) => left.identity.vm < right.identity.vm ? -1 : 1)
       .map((vm) => `${vm.identity.vm}/${vm.identity.incarnation}/live`)
       .join(" ");
   }
 
-  /** Stops everything and gives the runtime its clock back. */
+  /** Stops all VMs and restores the clock and the random generator. */
   async end(): Promise<void> {
     for (const name of [...this.vms.keys()]) {
       await this.kill(name);
--- a/packages/fleet/test/web_socket_peer_network_test.ts
+++ b/packages/fleet/test/web_socket_peer_network_test.ts
@@ -1,5 +1,5 @@
 /**
- * Peer links over sockets on loopback.
+ * Peer links over WebSockets on loopback.
  */
 
 import assert from "node:assert/strict";
@@ -18,7 +18,7 @@
 
 type Direction = "forward" | "backward";
 
-/** Forwards one port to another and can stop in one direction without closing anything. */
+/** Forwards one port to another, and can stop one direction without closing connections. */
 class Relay {
   readonly #stopped = new Set<Direction>();
   readonly #sockets: net.Socket[] = [];
@@ -28,8 +28,8 @@
     this.#server = net.createServer((client) => {
       const target = net.connect(getPort(), "127.0.0.1");
       this.#sockets.push(client, target);
-      this.#join(client, target, "forward");
-      this.#join(target, client, "backward");
+      this.#forward(client, target, "forward");
+      this.#forward(target, client, "backward");
     });
   }
 
@@ -52,14 +52,14 @@
     }
   }
 
-  #join(source: net.Socket, sink: net.Socket, direction: Direction): void {
+  #forward(source: net.Socket, sink: net.Socket, direction: Direction): void {
     source.on("data", (data) => {
       if (!this.#stopped.has(direction)) {
         sink.write(data);
       }
     });
     source.on("error", () => sink.destroy());
-    // A stopped direction carries no end of the stream either.
+    // A stopped direction does not forward the end of the stream either.
     source.on("close", () => {
       if (!this.#stopped.has(direction)) {
         sink.destroy();
@@ -68,7 +68,7 @@
   }
 }
 
-class Node {
+class TestVm {
   readonly metrics = new kernel.Metrics();
   readonly network: fleet.WebSocketPeerNetwork;
   readonly addresses = new Map<string, string>();
@@ -101,9 +101,9 @@
   }
 }
 
-async function startPair(context: test.TestContext, secret = SECRET): Promise<[Node, Node]> {
-  const left = new Node("vm-1");
-  const right = new Node("vm-2", secret);
+async function startPair(context: test.TestContext, secret = SECRET): Promise<[TestVm, TestVm]> {
+  const left = new TestVm("vm-1");
+  const right = new TestVm("vm-2", secret);
   await left.network.start();
   await right.network.start();
   left.addresses.set("vm-2", `127.0.0.1:${right.network.port}`);
@@ -115,7 +115,7 @@
   return [left, right];
 }
 
-function callEcho(from: Node, to: string, payload: unknown) {
+function callEcho(from: TestVm, to: string, payload: unknown) {
   return from.network.call(model.createVmId(to), ECHO, payload, CALL_TIMEOUT_MILLISECONDS);
 }
 
@@ -136,7 +136,7 @@
     assert.equal(left.network.openLinks, 1);
   });
 
-  test.it("refuses a VM with another secret on both sides", async (context) => {
+  test.it("opens no link on either side if the secrets differ", async (context) => {
     const [left, right] = await startPair(context, "x".repeat(40));
     assert.ok((await callEcho(left, "vm-2", "a")).isErr());
     const refused = "hemlockwalk_peer_handshakes_refused_total";
@@ -144,13 +144,13 @@
     assert.equal(right.network.openLinks + left.network.openLinks, 0);
   });
 
-  test.it("refuses a frame that is too large, sent or received, and goes on", async (context) => {
+  test.it("refuses too large frames, sent or received, and keeps working", async (context) => {
     const [left, right] = await startPair(context);
     const large = await callEcho(left, "vm-2", new Uint8Array(sockets.MAX_MESSAGE_BYTES));
     assert.equal(large._unsafeUnwrapErr().kind, "too_large");
-    const stranger = new ws.WebSocket(`ws://127.0.0.1:${right.network.port}`);
-    const closed = new Promise((resolve) => stranger.once("close", resolve));
-    stranger.once("open", () => stranger.send(new Uint8Array(8_192)));
+    const client = new ws.WebSocket(`ws://127.0.0.1:${right.network.port}`);
+    const closed = new Promise((resolve) => client.once("close", resolve));
+    client.once("open", () => client.send(new Uint8Array(8_192)));
     await closed;
     assert.equal(
       await right.count("hemlockwalk_peer_drops_total", { reason: "too_large" }),
@@ -159,7 +159,7 @@
     assert.equal((await callEcho(left, "vm-2", "b"))._unsafeUnwrap(), "b");
   });
 
-  test.it("refuses frames while too many bytes wait, and takes them again later", async (context) => {
+  test.it("refuses frames while the queue is full, then accepts them again", async (context) => {
     const [left, right] = await startPair(context);
     assert.ok((await callEcho(left, "vm-2", 1)).isOk());
     const payload = new Uint8Array(sockets.MAX_MESSAGE_BYTES / 2);
@@ -176,7 +176,7 @@
     assert.equal((await callEcho(left, "vm-2", 3))._unsafeUnwrap(), 3);
   });
 
-  test.it("ends the calls under way when the peer stops", async (context) => {
+  test.it("fails the pending calls when the peer stops", async (context) => {
     const [left, right] = await startPair(context);
     assert.ok((await callEcho(left, "vm-2", 1)).isOk());
     const silent = fleet.createChannelName("test.silent");
@@ -194,7 +194,7 @@
   });
 
   for (const direction of ["forward", "backward"] as const) {
-    test.it(`ends a link that went silent ${direction} and opens a new one`, async (context) => {
+    test.it(`ends a link that fails ${direction} and opens a new one`, async (context) => {
       const [left, right] = await startPair(context);
       const relay = new Relay(() => right.network.port);
       await relay.start();
@@ -202,23 +202,24 @@
       left.addresses.set("vm-2", `127.0.0.1:${relay.port}`);
       assert.ok((await callEcho(left, "vm-2", 1)).isOk());
       relay.stopForwarding(direction);
-      // The VM that hears nothing goes on sending, so that the other one goes on hearing it.
-      const deaf = direction === "forward" ? right : left;
-      const heard = direction === "forward" ? left : right;
+      // The VM that receives nothing keeps sending, so that the other one keeps receiving.
+      const cutReceiver = direction === "forward" ? right : left;
+      const cutSender = direction === "forward" ? left : right;
       const lost = [callEcho(left, "vm-2", 2), callEcho(right, "vm-1", 2)];
       left.addresses.set("vm-2", `127.0.0.1:${right.network.port}`);
       const ended = "hemlockwalk_peer_links_ended_total";
       await waitUntil(async () => {
-        if (await deaf.count(ended) === 0) {
-          deaf.network.send(heard.network.self.vm, ECHO, 3);
+        if (await cutReceiver.count(ended) === 0) {
+          cutReceiver.network.send(cutSender.network.self.vm, ECHO, 3);
         }
         return await left.count(ended) === 1 && await right.count(ended) === 1;
       });
-      // The VM that hears nothing sees silence; the other one sees that nothing is confirmed.
-      assert.equal(await deaf.count(ended, { reason: "silent" }), 1);
+      // The VM that receives nothing ends a silent link; for the other one, nothing is
+      // acknowledged.
+      assert.equal(await cutReceiver.count(ended, { reason: "silent" }), 1);
       assert.equal(
-        await heard.count(ended, { reason: "one_way" }) +
-          await heard.count(ended, { reason: "closed_by_peer" }),
+        await cutSender.count(ended, { reason: "one_way" }) +
+          await cutSender.count(ended, { reason: "closed_by_peer" }),
         1,
       );
       assert.ok((await Promise.all(lost)).every((result) => result.isErr()));
