--- a/packages/claims/bench/claim_histories_run.ts
+++ b/packages/claims/bench/claim_histories_run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs many random histories of claims, which would take too long in CI. Arguments: how many, seed.
+ * Runs more random histories of claims than CI has time for. Arguments: number of histories, seed.
  */
 
 import process from "node:process";
@@ -18,4 +18,4 @@
   { seed, numRuns },
 );
 const counts = [...total].map(([kind, count]) => `${kind} ${count}`).join(", ");
-process.stdout.write(`${numRuns} histories with seed ${seed}: no rule broken; ${counts}\n`);
+process.stdout.write(`${numRuns} histories with seed ${seed}: no violation; ${counts}\n`);
--- a/packages/claims/bench/claims_bench.ts
+++ b/packages/claims/bench/claims_bench.ts
@@ -1,7 +1,7 @@
 /**
- * Measures claims: control traffic in calm and messages for each claim on the tests' clock, memory
- * for each remembered key and kept answer, and latency over WebSockets on loopback. Arguments:
- * numbers of VMs for the first part.
+ * Measures claims: control traffic while idle and messages per claim on the test clock, memory per
+ * stored key and response, and latency over WebSockets on loopback. Arguments: fleet sizes for the
+ * first part.
  */
 
 import process from "node:process";
@@ -18,11 +18,11 @@
 import * as slots from "../src/slots.ts";
 import * as fleets from "../test/claim_fleet.ts";
 
-const CALM_MILLISECONDS = 60_000;
+const IDLE_MILLISECONDS = 60_000;
 const CLAIMS = 200;
 const SOCKET_VMS = 5;
 const SOCKET_CLAIMS = 3_000;
-const SOCKET_TIMING = { retention: 1_000, memory: 60_000, minLease: 2_000, maxLease: 2_000 };
+const SOCKET_TIMING = { retention: 1_000, maxEntryAge: 60_000, minLease: 2_000, maxLease: 2_000 };
 const MEMORY_ENTRIES = 40_000;
 
 function print(line: string): void {
@@ -33,17 +33,17 @@
   const simulated = new fleets.ClaimFleet(count, 1, claims.DEFAULT_TIMING);
   await simulated.wait(150_000);
   const before = { frames: simulated.hub.frames, bytes: simulated.hub.bytes };
-  await simulated.wait(CALM_MILLISECONDS);
-  const calmFrames = simulated.hub.frames - before.frames;
-  const calmBytes = simulated.hub.bytes - before.bytes;
-  const perVm = count * CALM_MILLISECONDS / 1_000;
+  await simulated.wait(IDLE_MILLISECONDS);
+  const idleFrames = simulated.hub.frames - before.frames;
+  const idleBytes = simulated.hub.bytes - before.bytes;
+  const vmSeconds = count * IDLE_MILLISECONDS / 1_000;
   let frames = 0;
   let bytes = 0;
   let granted = 0;
   for (let index = 0; index < CLAIMS; index++) {
     const start = { frames: simulated.hub.frames, bytes: simulated.hub.bytes };
     const asked = simulated.claim(index % count, `key-${index}`);
-    // Renewals that fall into these few milliseconds are counted too.
+    // Lease renewals during these few milliseconds are counted too.
     await simulated.clock.advance(6, 1);
     frames += simulated.hub.frames - start.frames;
     bytes += simulated.hub.bytes - start.bytes;
@@ -55,8 +55,8 @@
   }
   await simulated.end();
   print(
-    `${count} VMs: in calm each sends ${(calmFrames / perVm).toFixed(1)} frames/s and ` +
-      `${(calmBytes / perVm).toFixed(0)} B/s; a claim takes ${
+    `${count} VMs: while idle each sends ${(idleFrames / vmSeconds).toFixed(1)} frames/s and ` +
+      `${(idleBytes / vmSeconds).toFixed(0)} B/s; a claim takes ${
         (frames / CLAIMS).toFixed(1)
       } frames ` +
       `and ${(bytes / CLAIMS).toFixed(0)} B of the fleet; granted ${granted} of ${CLAIMS}`,
@@ -71,12 +71,16 @@
   const before = collect();
   const table = new tables.SlotTable(claims.DEFAULT_TIMING, MEMORY_ENTRIES);
   for (let index = 0; index < MEMORY_ENTRIES; index++) {
-    table.put(index % slots.SLOTS, slots.createKeyHash(model.createWorkspaceId("w"), `${index}`), {
-      vm: model.createVmId(`vm-${index % 40}`),
-      incarnation: model.createIncarnation(),
-      claim: `vm-${index % 40}-0mi0q0q0q-0123456789abcdef-${index}`,
-      fingerprint: index.toString(16).padStart(64, "0"),
-    });
+    table.put(
+      index % slots.SLOT_COUNT,
+      slots.createKeyHash(model.createWorkspaceId("w"), `${index}`),
+      {
+        vm: model.createVmId(`vm-${index % 40}`),
+        incarnation: model.createIncarnation(),
+        claim: `vm-${index % 40}-0mi0q0q0q-0123456789abcdef-${index}`,
+        fingerprint: index.toString(16).padStart(64, "0"),
+      },
+    );
   }
   const perKey = (collect() - before) / table.size;
   const registry = new registries.ClaimRegistry("vm-1-0mi0q0q0q-0123456789abcdef");
@@ -87,12 +91,12 @@
   }
   const perAnswer = (collect() - start) / answers;
   print(
-    `memory: ${perKey.toFixed(0)} B for each of ${table.size} remembered keys, ${
+    `memory: ${perKey.toFixed(0)} B for each of ${table.size} stored keys, ${
       perAnswer.toFixed(0)
     } B ` +
-      `for each of ${answers} kept answers without a body, ${registry.answerBytes} B by its own ` +
-      `count; bounds ${tables.MAX_ENTRIES} keys and ` +
-      `${registries.MAX_ANSWER_BYTES} B of answers`,
+      `for each of ${answers} stored responses without a body, ${registry.answerBytes} B by its ` +
+      `own count; limits ${tables.MAX_ENTRIES} keys and ` +
+      `${registries.MAX_ANSWER_BYTES} B of responses`,
   );
 }
 
@@ -143,7 +147,7 @@
     store.start();
     return store;
   });
-  await kernel.sleep(timings.getGuardedPeriod(SOCKET_TIMING) + 6 * SOCKET_TIMING.maxLease);
+  await kernel.sleep(timings.getProtectedPeriod(SOCKET_TIMING) + 6 * SOCKET_TIMING.maxLease);
   const latency = new kernel.LatencyDistribution();
   let granted = 0;
   for (let index = 0; index < SOCKET_CLAIMS; index++) {
--- a/packages/claims/src/claim_counters.ts
+++ b/packages/claims/src/claim_counters.ts
@@ -4,7 +4,7 @@
 
 import type * as kernel from "@hemlockwalk/kernel";
 
-/** What claims count besides the decisions, which the gateway counts. */
+/** Counters of claims and slots. The gateway counts the decisions on claims. */
 export class ClaimCounters {
   readonly unavailable;
   readonly verdicts;
@@ -14,17 +14,17 @@
   constructor(metrics: kernel.Metrics) {
     this.unavailable = metrics.createCounter(
       "hemlockwalk_claims_unavailable_total",
-      "Claims without a majority of the key's slots, by reason.",
+      "Claims that could not be decided, by reason.",
       ["reason"],
     );
     this.verdicts = metrics.createCounter(
       "hemlockwalk_claim_slot_verdicts_total",
-      "What the slots of this VM said to claims.",
+      "Verdicts of this VM's slots on claims, by verdict.",
       ["verdict"],
     );
     this.slotChanges = metrics.createCounter(
       "hemlockwalk_claim_slot_changes_total",
-      "Slots that this VM won, lost or gave back.",
+      "Slots that this VM won, lost, or requested without winning them.",
       ["change"],
     );
     this.latency = metrics.createLatency(
--- a/packages/claims/src/claim_messages.ts
+++ b/packages/claims/src/claim_messages.ts
@@ -1,5 +1,5 @@
 /**
- * Messages by which VMs hold slots and claim keys.
+ * Messages by which VMs acquire slots and claim keys.
  */
 
 import * as fleet from "@hemlockwalk/fleet";
@@ -7,44 +7,47 @@
 import * as zod from "zod";
 import * as slots from "./slots.ts";
 
-/** Asks for votes on slots; the answer says for each how long no other VM can have held it. */
+/** Requests votes for slots. The response gives for each how long no other VM can have held it. */
 export const VOTE_CHANNEL = fleet.createChannelName("claims.vote");
-/** Gives votes back. */
+/** Returns votes. */
 export const RELEASE_SLOTS_CHANNEL = fleet.createChannelName("claims.release-slots");
-/** Claims a key at the slots that a VM holds. */
+/** Claims a key at slots that the receiver holds. */
 export const CLAIM_CHANNEL = fleet.createChannelName("claims.claim");
-/** Says that a claim was not used. */
+/** Releases a claim that was not used. */
 export const RELEASE_CLAIM_CHANNEL = fleet.createChannelName("claims.release");
-/** Asks the VM that owns a claim what became of it. */
+/** Requests the outcome of a claim from the VM that made it. */
 export const OUTCOME_CHANNEL = fleet.createChannelName("claims.outcome");
 
 const MAX_TEXT = 128;
 const MAX_PERIOD = 3_600_000;
 
-const slot = zod.number().int().min(0).max(slots.SLOTS - 1);
-const slotList = zod.array(slot).max(slots.SLOTS);
+const slot = zod.number().int().min(0).max(slots.SLOT_COUNT - 1);
+const slotList = zod.array(slot).max(slots.SLOT_COUNT);
 const text = zod.string().min(1).max(MAX_TEXT);
 
 const round = zod.number().int().min(0).max(Number.MAX_SAFE_INTEGER);
 
 export const voteSchema = zod.object({
   slots: slotList,
-  /** Slots of which the sender holds the lease already, so that others know whom to ask. */
+  /** Slots that the sender already holds, so that the receivers can send claims to it. */
   held: slotList,
   lease: zod.number().positive().max(MAX_PERIOD),
-  /** Counts the sender's requests for votes. */
+  /** Number of the sender's round of votes. */
   round,
 });
 
-/** For each slot of the request: milliseconds without another holder, or null for no vote. */
+/**
+ * For each slot of the request: milliseconds for which no other VM can have held it by a vote of
+ * the responder, or null for no vote.
+ */
 export const voteAnswerSchema = zod.object({
-  clean: zod.array(zod.number().min(0).nullable()).max(slots.SLOTS),
+  clean: zod.array(zod.number().min(0).nullable()).max(slots.SLOT_COUNT),
 });
 
 export const releaseSlotsSchema = zod.object({
   slots: slotList,
   round,
-  /** The sender never had the lease that the votes were for. */
+  /** The sender never held the slots that the votes were for. */
   neverHeld: zod.boolean(),
 });
 
@@ -57,7 +60,7 @@
   isRefresh: zod.boolean(),
 });
 
-/** Who uses a key, as a slot remembers it. */
+/** The claim that uses a key, and the VM that made it, as recorded at a slot. */
 export interface ClaimOwner {
   readonly vm: model.VmId;
   readonly incarnation: model.Incarnation;
@@ -75,14 +78,14 @@
 const slotVerdictSchema = zod.discriminatedUnion("kind", [
   zod.object({ kind: zod.literal("granted") }),
   zod.object({ kind: zod.literal("taken"), owner: ownerSchema }),
-  /** The VM does not hold the slot, has held it for too short a time, or has no room. */
+  /** The VM does not hold the slot, has not held it for long enough, or its table is full. */
   zod.object({
     kind: zod.literal("abstained"),
     waitMilliseconds: zod.number().min(0).max(MAX_PERIOD),
   }),
 ]);
 
-/** What one slot says to a claim. */
+/** Verdict of one slot on a claim. */
 export type SlotVerdict = zod.output<typeof slotVerdictSchema>;
 
 export const claimAnswerSchema = zod.object({
@@ -104,14 +107,14 @@
 });
 
 export const outcomeSchema = zod.discriminatedUnion("kind", [
-  /** Its votes are still being collected. */
+  /** The verdicts of the slots are still being collected. */
   zod.object({ kind: zod.literal("pending") }),
   zod.object({ kind: zod.literal("running") }),
   zod.object({ kind: zod.literal("stored"), answer: storedAnswerSchema }),
   zod.object({ kind: zod.literal("unknown") }),
-  /** It will never run. */
+  /** The request of the claim will never run. */
   zod.object({ kind: zod.literal("abandoned") }),
 ]);
 
-/** What became of a claim, as its owner says. */
+/** Outcome of a claim, as reported by the VM that made it. */
 export type ClaimOutcome = zod.output<typeof outcomeSchema>;
--- a/packages/claims/src/claim_panel.ts
+++ b/packages/claims/src/claim_panel.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the slots of a key's panel, wherever they are held.
+ * Sends a claim to the slots of a key's panel, whichever VMs hold them.
  */
 
 import type * as fleet from "@hemlockwalk/fleet";
@@ -9,19 +9,19 @@
 import * as slots from "./slots.ts";
 import type * as voters from "./slot_voter.ts";
 
-/** A slot whose holder is silent is asked again after this time. */
-const SILENT_HOLDER_WAIT_MILLISECONDS = 1_000;
+/** Wait before a slot is asked again whose holder did not respond. */
+const UNRESPONSIVE_HOLDER_WAIT_MILLISECONDS = 1_000;
 
-/** What a panel said. */
+/** Combined verdicts of the slots of a panel. */
 export interface PanelVerdict {
   readonly granted: number;
   /** Other claims on the key, each once. */
   readonly taken: readonly messages.ClaimOwner[];
-  /** How long the abstaining slots want to be left alone, shortest first. */
+  /** Waits in milliseconds that the abstaining slots requested, shortest first. */
   readonly waits: readonly number[];
 }
 
-/** A claim on its way to the slots. */
+/** A claim and the slots that decide on it. */
 export interface PanelClaim {
   readonly panel: readonly number[];
   readonly key: string;
@@ -30,10 +30,10 @@
 
 const ABSTAINED: messages.SlotVerdict = {
   kind: "abstained",
-  waitMilliseconds: SILENT_HOLDER_WAIT_MILLISECONDS,
+  waitMilliseconds: UNRESPONSIVE_HOLDER_WAIT_MILLISECONDS,
 };
 
-/** Reaches the slots of panels. */
+/** Sends claims and releases to the slots of panels. */
 export class ClaimPanel {
   readonly #network: fleet.PeerNetwork;
   readonly #holder: holders.SlotHolder;
@@ -49,7 +49,10 @@
     this.#voter = voter;
   }
 
-  /** Asks all slots at once. Settles as soon as a majority granted, or when all have been heard. */
+  /**
+   * Asks all slots in parallel. Settles as soon as a majority has granted the claim, or when all
+   * have responded or timed out.
+   */
   ask(
     claim: PanelClaim,
     timeoutMilliseconds: number,
@@ -58,13 +61,13 @@
     const groups = this.#groupByHolder(claim.panel);
     const verdicts: messages.SlotVerdict[] = [];
     return new Promise((resolve) => {
-      let left = groups.size;
+      let remainingGroups = groups.size;
       for (const [vm, group] of groups) {
         void this.#askHolder(vm, group, claim, timeoutMilliseconds, isRefresh).then((answer) => {
-          left--;
+          remainingGroups--;
           verdicts.push(...answer);
           const verdict = summarize(verdicts);
-          if (left === 0 || verdict.granted >= slots.PANEL_MAJORITY) {
+          if (remainingGroups === 0 || verdict.granted >= slots.PANEL_MAJORITY) {
             resolve(verdict);
           }
         });
@@ -72,7 +75,7 @@
     });
   }
 
-  /** Tells the slots that a claim is not used. */
+  /** Releases an unused claim at its slots. */
   release(claim: PanelClaim): void {
     for (const [vm, group] of this.#groupByHolder(claim.panel)) {
       if (vm === this.#network.self.vm) {
@@ -127,8 +130,8 @@
       timeoutMilliseconds,
     );
     const answer = called.isOk() ? messages.claimAnswerSchema.safeParse(called.value) : undefined;
-    const isWhole = answer?.success === true && answer.data.verdicts.length === group.length;
-    return isWhole ? answer.data.verdicts : group.map(() => ABSTAINED);
+    const isComplete = answer?.success === true && answer.data.verdicts.length === group.length;
+    return isComplete ? answer.data.verdicts : group.map(() => ABSTAINED);
   }
 }
 
--- a/packages/claims/src/claim_registry.ts
+++ b/packages/claims/src/claim_registry.ts
@@ -1,5 +1,5 @@
 /**
- * What became of the claims that this VM made, and the answers that it keeps for repeats.
+ * Outcomes of the claims that this VM made, and the responses that it stores for repeated requests.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -7,16 +7,16 @@
 import type * as messages from "./claim_messages.ts";
 import type * as types from "./types.ts";
 
-/** Bytes of answers that a VM keeps. */
+/** Maximum number of bytes of responses that a VM stores. */
 export const MAX_ANSWER_BYTES = 16 * 1_048_576;
 
-/** Larger answers are not kept; their repeats are told that the outcome is unknown. */
+/** Larger responses are not stored; for their repeats the outcome is unknown. */
 export const MAX_SINGLE_ANSWER_BYTES = 262_144;
 
-/** Claims that a VM can tell the outcome of. */
+/** Maximum number of claims whose outcome a VM keeps. */
 const MAX_CLAIMS = 50_000;
 
-/** Bytes of an answer besides its body and headers. */
+/** Bytes charged for a response in addition to its body and headers. */
 const ANSWER_OVERHEAD_BYTES = 256;
 
 type ClaimState = "pending" | "running" | "stored" | "unknown" | "abandoned";
@@ -38,32 +38,32 @@
     });
   }
 
-  /** Bytes of the answers kept. */
+  /** Total bytes of the stored responses. */
   get answerBytes(): number {
     return this.#answers.calculatedSize;
   }
 
-  /** Begins a claim. Its name is unique in the fleet. */
+  /** Adds a pending claim and returns its identifier, which is unique in the fleet. */
   create(): string {
     this.#lastNumber++;
     const claim = `${this.#prefix}-${this.#lastNumber}`;
     this.#states.set(claim, "pending");
-    this.#forgetOldest();
+    this.#evictOldest();
     return claim;
   }
 
-  /** Notes that a claim was granted or given up. */
-  set(claim: string, state: "running" | "unknown" | "abandoned"): void {
+  /** Records a new state of a claim. */
+  setState(claim: string, state: "running" | "unknown" | "abandoned"): void {
     this.#states.set(claim, state);
   }
 
-  /** Keeps the answer of a claim if it is not too large. */
+  /** Stores the response of a claim if it is not too large. */
   store(claim: string, answer: types.StoredAnswer): void {
     this.#answers.set(claim, answer);
     this.#states.set(claim, this.#answers.has(claim) ? "stored" : "unknown");
   }
 
-  /** What became of a claim; an unknown one may have run. */
+  /** Returns the outcome of a claim. If it is unknown, the request may have run. */
   getOutcome(claim: string): messages.ClaimOutcome {
     const state = this.#states.get(claim) ?? "unknown";
     if (state !== "stored") {
@@ -75,7 +75,7 @@
       : { kind: "stored", answer: { ...answer, headers: [...answer.headers] } };
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     if (this.#states.size > MAX_CLAIMS) {
       const oldest = kernel.getDefined(this.#states.keys().next().value, "There are claims.");
       this.#states.delete(oldest);
--- a/packages/claims/src/fleet_claim_store.ts
+++ b/packages/claims/src/fleet_claim_store.ts
@@ -1,9 +1,10 @@
 /**
- * Claims over the whole fleet.
+ * Claims that are decided by the whole fleet.
  *
- * A claim is granted by three of the five slots of its key. Which slots these are is fixed by the key
- * alone, and a slot has at most one holder at any time, by the votes of more than half of all VMs
- * that may exist. So two grants of a key within the retention would need one slot that forgot.
+ * A claim is granted by three of the five slots of its key. The key alone determines these slots. A
+ * slot has at most one holder at any time, elected by the votes of more than half of all VMs that
+ * may exist. So two grants of a key within the retention are possible only if one slot has lost its
+ * entry.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
@@ -19,11 +20,11 @@
 import * as slotVoters from "./slot_voter.ts";
 import type * as types from "./types.ts";
 
-/** A slot must answer within this time, which covers the way to the other region and back. */
+/** Timeout of a request to a slot. It covers a round trip to the other region. */
 const ASK_TIMEOUT_MILLISECONDS = 500;
 
-/** Tries of one claim, since two claims on a key at the same moment may each get too few slots. */
-const MAX_TRIES = 4;
+/** Maximum attempts of one claim. Of two claims on a key at once, each may get too few slots. */
+const MAX_ATTEMPTS = 4;
 
 const MIN_BACKOFF_MILLISECONDS = 10;
 const MAX_BACKOFF_MILLISECONDS = 60;
@@ -31,10 +32,10 @@
 
 const FINGERPRINT_CHARACTERS = 64;
 
-/** A running claim is confirmed at its slots so many times in one retention. */
+/** How often a running claim is refreshed at its slots during one retention. */
 const REFRESHES_PER_RETENTION = 4;
 
-/** What a store works with. */
+/** Options of a claim store. */
 export interface FleetClaimStoreOptions {
   readonly network: fleet.PeerNetwork;
   readonly membership: fleet.Membership;
@@ -44,7 +45,7 @@
   readonly maxAnswerBytes?: number | undefined;
 }
 
-type Settled = types.ClaimDecision | { readonly kind: "again" };
+type AttemptResult = types.ClaimDecision | { readonly kind: "again" };
 
 /** Decides on claims together with the other VMs. */
 export class FleetClaimStore implements types.ClaimStore {
@@ -77,17 +78,17 @@
     this.#handleMessages();
   }
 
-  /** Slots that this VM holds. */
+  /** Number of slots that this VM holds. */
   get heldSlots(): number {
     return this.#holder.listHeld().length;
   }
 
-  /** Keys that this VM remembers on behalf of its slots. */
-  get rememberedKeys(): number {
+  /** Number of keys that this VM stores for its slots. */
+  get storedKeys(): number {
     return this.#holder.entries;
   }
 
-  /** Bytes of answers that this VM keeps for repeats. */
+  /** Bytes of responses that this VM stores for repeated requests. */
   get answerBytes(): number {
     return this.#registry.answerBytes;
   }
@@ -112,9 +113,9 @@
     const key = slots.createKeyHash(request.workspace, request.idempotencyKey);
     const panel = slots.pickPanel(key);
     const fingerprint = request.fingerprint.slice(0, FINGERPRINT_CHARACTERS);
-    for (let attempt = 0; attempt < MAX_TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const owner = { ...this.#getOwner(), claim: this.#registry.create(), fingerprint };
-      const settled = await this.#try({ panel, key, owner }, request.deadlineMilliseconds);
+      const settled = await this.#attempt({ panel, key, owner }, request.deadlineMilliseconds);
       if (settled.kind !== "again") {
         return settled;
       }
@@ -126,39 +127,40 @@
     return this.#createUnavailable("contended", MIN_RETRY_AFTER_MILLISECONDS);
   }
 
-  async #try(claim: panels.PanelClaim, deadlineMilliseconds: number): Promise<Settled> {
+  async #attempt(claim: panels.PanelClaim, deadlineMilliseconds: number): Promise<AttemptResult> {
     const askedAt = kernel.getMonotonicMilliseconds();
     const left = deadlineMilliseconds - askedAt;
     if (left <= 0 || this.#stopping.signal.aborted) {
-      this.#registry.set(claim.owner.claim, "abandoned");
+      this.#registry.setState(claim.owner.claim, "abandoned");
       return this.#createUnavailable("deadline", MIN_RETRY_AFTER_MILLISECONDS);
     }
     const timeout = Math.min(ASK_TIMEOUT_MILLISECONDS, left);
     const verdict = await this.#panel.ask(claim, timeout, false);
-    const isInTime = kernel.getMonotonicMilliseconds() - askedAt < timings.DECISION_MILLISECONDS &&
+    const isInTime =
+      kernel.getMonotonicMilliseconds() - askedAt < timings.DECISION_TIMEOUT_MILLISECONDS &&
       kernel.getMonotonicMilliseconds() < deadlineMilliseconds;
     if (verdict.granted >= slots.PANEL_MAJORITY && isInTime) {
-      this.#registry.set(claim.owner.claim, "running");
+      this.#registry.setState(claim.owner.claim, "running");
       return { kind: "granted", claim: this.#createClaim(claim) };
     }
-    // From here on no late grant of this claim counts, so that its slots may be set free.
-    this.#registry.set(claim.owner.claim, "abandoned");
+    // The claim is abandoned first: a late grant no longer counts, so its slots may be released.
+    this.#registry.setState(claim.owner.claim, "abandoned");
     this.#panel.release(claim);
     if (verdict.granted >= slots.PANEL_MAJORITY) {
       return this.#createUnavailable("late", MIN_RETRY_AFTER_MILLISECONDS);
     }
     if (verdict.taken.length > 0) {
-      return await this.#settleTaken(claim, verdict.taken, deadlineMilliseconds);
+      return await this.#resolveTaken(claim, verdict.taken, deadlineMilliseconds);
     }
     return this.#createUnavailable("no_majority", getRetryAfter(verdict));
   }
 
-  /** Finds out what became of the claims that hold the key. */
-  async #settleTaken(
+  /** Decides on a claim whose key is taken, by the outcomes of the claims that hold the key. */
+  async #resolveTaken(
     claim: panels.PanelClaim,
     taken: readonly messages.ClaimOwner[],
     deadlineMilliseconds: number,
-  ): Promise<Settled> {
+  ): Promise<AttemptResult> {
     const outcomes = await Promise.all(
       taken.map(async (owner) => ({
         owner,
@@ -190,13 +192,13 @@
       Math.max(1, Math.min(ASK_TIMEOUT_MILLISECONDS, left)),
     );
     const outcome = called.isOk() ? messages.outcomeSchema.safeParse(called.value) : undefined;
-    // A VM that is gone takes the outcome with it: the request may have run.
+    // If the VM cannot be reached, the outcome is unknown: the request may have run.
     return outcome?.success === true ? outcome.data : { kind: "unknown" };
   }
 
   #createClaim(claim: panels.PanelClaim): types.Claim {
     const settling = new AbortController();
-    void this.#confirmWhileRunning(claim, settling.signal);
+    void this.#refreshWhileRunning(claim, settling.signal);
     const settle = () => {
       kernel.assert(!settling.signal.aborted, "A claim is settled once.");
       settling.abort();
@@ -205,35 +207,38 @@
       complete: (answer) => {
         settle();
         if (answer === undefined) {
-          this.#registry.set(claim.owner.claim, "unknown");
+          this.#registry.setState(claim.owner.claim, "unknown");
         } else {
           this.#registry.store(claim.owner.claim, answer);
         }
-        this.#confirm(claim);
+        this.#refresh(claim);
       },
       abandon: () => {
         settle();
-        this.#registry.set(claim.owner.claim, "abandoned");
+        this.#registry.setState(claim.owner.claim, "abandoned");
         this.#panel.release(claim);
       },
       fail: () => {
         settle();
-        this.#registry.set(claim.owner.claim, "unknown");
-        this.#confirm(claim);
+        this.#registry.setState(claim.owner.claim, "unknown");
+        this.#refresh(claim);
       },
     };
   }
 
-  /** The task of a running claim: its retention counts from its end, so slots must not forget it. */
-  async #confirmWhileRunning(claim: panels.PanelClaim, settled: AbortSignal): Promise<void> {
+  /**
+   * Refreshes a claim at its slots until it is settled. Its retention starts when it ends, so its
+   * entries must not expire before.
+   */
+  async #refreshWhileRunning(claim: panels.PanelClaim, settled: AbortSignal): Promise<void> {
     const ended = AbortSignal.any([settled, this.#stopping.signal]);
     const period = this.#timing.retention / REFRESHES_PER_RETENTION;
     while (await kernel.sleep(period, ended)) {
-      this.#confirm(claim);
+      this.#refresh(claim);
     }
   }
 
-  #confirm(claim: panels.PanelClaim): void {
+  #refresh(claim: panels.PanelClaim): void {
     void this.#panel.ask(claim, ASK_TIMEOUT_MILLISECONDS, true);
   }
 
@@ -250,7 +255,7 @@
     this.#network.handle(messages.VOTE_CHANNEL, ({ from, payload }) => {
       const { slots: wanted, held, lease, round } = messages.voteSchema.parse(payload);
       for (const slot of held) {
-        this.#voter.noteHolder(slot, from);
+        this.#voter.recordHolder(slot, from);
       }
       return {
         clean: wanted.map((slot) => this.#voter.vote(slot, from, lease, round) ?? null),
--- a/packages/claims/src/mod.ts
+++ b/packages/claims/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Claims: a caller's repeat under the same `Idempotency-Key` never runs a second time.
+ * Claims ensure that a request that a caller repeats with the same `Idempotency-Key` runs only
+ * once.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -10,5 +11,5 @@
 export * from "./fleet_claim_store.ts";
 export type * from "./types.ts";
 
-/** The name under which the claim store is found. */
+/** Service name of the claim store. */
 export const CLAIM_STORE = kernel.createServiceName<types.ClaimStore>("claim-store");
--- a/packages/claims/src/slot_holder.ts
+++ b/packages/claims/src/slot_holder.ts
@@ -1,6 +1,6 @@
 /**
- * Holds slots on behalf of the fleet: wins and renews leases by the votes of more than half of all
- * VMs that may exist, and answers claims for the slots that it holds.
+ * Acquires and renews leases on slots by the votes of more than half of all VMs that may exist, and
+ * decides on claims at the slots that this VM holds.
  */
 
 import type * as configuration from "@hemlockwalk/configuration";
@@ -16,19 +16,19 @@
 
 const VOTE_TIMEOUT_MILLISECONDS = 1_000;
 
-/** Shortest wait between two rounds of votes. */
-const MIN_GAP_MILLISECONDS = 50;
+/** Minimum wait between two rounds of votes. */
+const MIN_ROUND_GAP_MILLISECONDS = 50;
 
-/** Wait before the next look when this VM could not even try. */
-const IDLE_MILLISECONDS = 1_000;
+/** Wait before the next attempt if there is no configuration, or no lease on the slot. */
+const RETRY_MILLISECONDS = 1_000;
 
-/** After a slot was won or its renewal failed, the next renewal comes so much earlier. */
+/** Factor by which the next round comes earlier after a slot was won or its renewal failed. */
 const RENEWAL_SPEED_UP = 10;
 
-/** Share of the time between renewals that is random, so that candidates do not meet for ever. */
-const JITTER = 0.2;
+/** Random share of the renewal period, so that candidates do not keep colliding. */
+const RENEWAL_JITTER = 0.2;
 
-/** What a holder works with. */
+/** Options of a slot holder. */
 export interface SlotHolderOptions {
   readonly network: fleet.PeerNetwork;
   readonly membership: fleet.Membership;
@@ -38,19 +38,21 @@
   readonly counters: counters.ClaimCounters;
 }
 
-interface HeldSlot {
-  /** The lease ends at this time on this VM's clock. */
+interface SlotLease {
+  /** End of the lease on this VM's monotonic clock. */
   readonly until: number;
-  /** Milliseconds without another holder, as more than half of the fleet vouch. */
+  /**
+   * Milliseconds without another holder, as attested by the votes of more than half of the fleet.
+   */
   readonly clean: number;
 }
 
-/** The slots of one VM. */
+/** The slots that one VM holds. */
 export class SlotHolder {
   readonly #options: SlotHolderOptions;
   readonly #self: fleet.VmIdentity;
   readonly #table: tables.SlotTable;
-  readonly #held = new Map<number, HeldSlot>();
+  readonly #held = new Map<number, SlotLease>();
   readonly #everHeld = new Set<number>();
   readonly #stopping = new AbortController();
   #round = 0;
@@ -62,7 +64,7 @@
     this.#table = new tables.SlotTable(options.timing);
   }
 
-  /** Keys that this VM remembers for its slots. */
+  /** Number of keys that this VM stores for its slots. */
   get entries(): number {
     return this.#table.size;
   }
@@ -71,10 +73,10 @@
     this.#task = this.#run();
   }
 
-  /** Gives all slots back, so that others can take them at once. */
+  /** Releases all slots, so that other VMs can acquire them immediately. */
   async stop(): Promise<void> {
     this.#stopping.abort();
-    // No claim is granted after this, so that the votes may be given back.
+    // No claim is granted after this, so the votes may be returned.
     const held = [...this.#held.keys()];
     this.#held.clear();
     await this.#task;
@@ -89,7 +91,8 @@
   /**
    * Decides on a claim for one slot.
    *
-   * @param isRefresh The claim was granted before and is remembered even where none is granted.
+   * @param isRefresh The claim was granted before, and is recorded even if the slot may not yet
+   * grant new claims.
    */
   decide(
     slot: number,
@@ -102,7 +105,7 @@
     return verdict;
   }
 
-  /** Forgets a claim that was not used. */
+  /** Removes a claim that was not used. */
   releaseClaim(slot: number, key: string, claim: string): void {
     this.#table.release(slot, key, claim);
   }
@@ -115,26 +118,26 @@
   ): messages.SlotVerdict {
     const lease = this.#findLease(slot);
     const present = this.#table.find(slot, key);
-    // What is remembered is true without a lease too, and spares the caller a wrong hope.
+    // The entry is valid even without a lease, and gives the caller a more precise response.
     if (present !== undefined && present.claim !== owner.claim) {
       return { kind: "taken", owner: present };
     }
     if (lease === undefined) {
-      return { kind: "abstained", waitMilliseconds: IDLE_MILLISECONDS };
+      return { kind: "abstained", waitMilliseconds: RETRY_MILLISECONDS };
     }
-    // An earlier holder may have granted the key within the retention.
-    const guarded = timings.getGuardedPeriod(this.#options.timing);
-    const missing = guarded - lease.clean;
+    // A previous holder may have granted the key within the retention.
+    const protectedPeriod = timings.getProtectedPeriod(this.#options.timing);
+    const missing = protectedPeriod - lease.clean;
     if (missing > 0 && !isRefresh) {
       return { kind: "abstained", waitMilliseconds: missing };
     }
     if (!this.#table.put(slot, key, owner)) {
-      return { kind: "abstained", waitMilliseconds: guarded };
+      return { kind: "abstained", waitMilliseconds: protectedPeriod };
     }
     return { kind: "granted" };
   }
 
-  #findLease(slot: number): HeldSlot | undefined {
+  #findLease(slot: number): SlotLease | undefined {
     const lease = this.#held.get(slot);
     const isValid = lease !== undefined && kernel.getMonotonicMilliseconds() < lease.until;
     return isValid ? lease : undefined;
@@ -145,28 +148,29 @@
     while (!signal.aborted) {
       const snapshot = this.#options.configuration.getSnapshot();
       if (snapshot === undefined) {
-        await kernel.sleep(IDLE_MILLISECONDS, signal);
+        await kernel.sleep(RETRY_MILLISECONDS, signal);
         continue;
       }
       const startedAt = kernel.getMonotonicMilliseconds();
       const isUnsettled = await this.#renew(snapshot);
-      const period = timings.getLease(this.#options.timing, snapshot) / timings.RENEWALS_PER_LEASE;
-      const jittered = period * (1 - JITTER + Math.random() * JITTER);
-      // Others learn of a new holder by its next request for votes; a failed renewal may not wait.
+      const period = timings.getLeaseMilliseconds(this.#options.timing, snapshot) /
+        timings.RENEWALS_PER_LEASE;
+      const jittered = period * (1 - RENEWAL_JITTER + Math.random() * RENEWAL_JITTER);
+      // The next vote request announces a new holder, and a failed renewal must be retried soon.
       const wanted = isUnsettled ? jittered / RENEWAL_SPEED_UP : jittered;
-      // The lease counts from the request, so a voter that did not answer must not delay the next.
+      // The lease starts at the request, so a voter that times out must not delay the next round.
       const elapsed = kernel.getMonotonicMilliseconds() - startedAt;
-      await kernel.sleep(Math.max(MIN_GAP_MILLISECONDS, wanted - elapsed), signal);
+      await kernel.sleep(Math.max(MIN_ROUND_GAP_MILLISECONDS, wanted - elapsed), signal);
     }
   }
 
-  /** Asks all VMs for their votes once. Returns whether a slot was won or not renewed. */
+  /** Runs one round of votes. Returns whether a slot was won or its renewal failed. */
   async #renew(snapshot: configuration.Snapshot): Promise<boolean> {
     const wanted = this.#listWanted();
     if (wanted.length === 0) {
       return false;
     }
-    const lease = timings.getLease(this.#options.timing, snapshot);
+    const lease = timings.getLeaseMilliseconds(this.#options.timing, snapshot);
     const sentAt = kernel.getMonotonicMilliseconds();
     this.#round++;
     const votes = await this.#collectVotes(wanted, lease);
@@ -175,7 +179,7 @@
       return false;
     }
     const majority = timings.getFleetMajority(snapshot);
-    const until = sentAt + lease * (1 - timings.CLOCK_DRIFT);
+    const until = sentAt + lease * (1 - timings.MAX_CLOCK_DRIFT);
     const lost: number[] = [];
     let hasWon = false;
     let hasFailed = false;
@@ -197,7 +201,7 @@
         hasFailed = true;
       }
     }
-    this.#noteOwn();
+    this.#recordOwnSlots();
     this.#releaseLost(lost);
     if (hasWon) {
       this.#countChange("won");
@@ -205,12 +209,14 @@
     return hasWon || hasFailed;
   }
 
-  /** Slots to ask votes for: those held, and those that this VM is the first to take. */
+  /**
+   * Slots to request votes for: those held, and free ones of which this VM is the preferred owner.
+   */
   #listWanted(): number[] {
     const wanted: number[] = [];
     const candidates = this.#listCandidates();
     const isCandidate = candidates.includes(this.#self.vm);
-    for (let slot = 0; slot < slots.SLOTS; slot++) {
+    for (let slot = 0; slot < slots.SLOT_COUNT; slot++) {
       const isFree = !this.#options.voter.isPromisedToOther(slot, this.#self);
       const isPreferred = isCandidate && isFree &&
         fleet.findOwner(slots.getSlotName(slot), candidates) === this.#self.vm;
@@ -251,14 +257,14 @@
       .filter((vm) => vm !== this.#self.vm);
   }
 
-  #noteOwn(): void {
+  #recordOwnSlots(): void {
     for (const slot of this.listHeld()) {
-      this.#options.voter.noteHolder(slot, this.#self);
+      this.#options.voter.recordHolder(slot, this.#self);
     }
   }
 
   #releaseLost(lost: readonly number[]): void {
-    // A VM that once held the slot may have granted claims by these very votes.
+    // If this VM ever held the slot, it may have granted claims on the strength of these votes.
     const neverHeld = lost.filter((slot) => !this.#everHeld.has(slot));
     this.#release(neverHeld, true);
     this.#release(lost.filter((slot) => this.#everHeld.has(slot)), false);
--- a/packages/claims/src/slot_table.ts
+++ b/packages/claims/src/slot_table.ts
@@ -1,12 +1,12 @@
 /**
- * What a VM remembers about keys on behalf of the slots that it holds.
+ * The keys in use at the slots that a VM holds.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 import type * as messages from "./claim_messages.ts";
 import * as timings from "./claim_timing.ts";
 
-/** Keys that a VM remembers, at about 800 bytes each. */
+/** Maximum number of keys that a VM stores, at about 800 bytes each. */
 export const MAX_ENTRIES = 40_000;
 
 interface Entry {
@@ -14,7 +14,7 @@
   readonly usedAt: number;
 }
 
-/** Keys in use, by slot. */
+/** Owners of keys, by slot and key. */
 export class SlotTable {
   readonly #timing: timings.ClaimTiming;
   readonly #maxEntries: number;
@@ -26,51 +26,56 @@
     this.#maxEntries = maxEntries;
   }
 
-  /** Keys that are remembered. */
+  /** Number of stored keys. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** The user of a key at a slot; undefined when it is free. */
+  /** Owner of a key at a slot; undefined if the key is free. */
   find(slot: number, key: string): messages.ClaimOwner | undefined {
-    const entry = this.#entries.get(getName(slot, key));
-    const isOld = entry !== undefined &&
-      kernel.getMonotonicMilliseconds() - entry.usedAt > this.#timing.memory;
-    return isOld ? undefined : entry?.owner;
+    const entry = this.#entries.get(getEntryKey(slot, key));
+    const isExpired = entry !== undefined &&
+      kernel.getMonotonicMilliseconds() - entry.usedAt > this.#timing.maxEntryAge;
+    return isExpired ? undefined : entry?.owner;
   }
 
   /**
-   * Remembers the user of a key.
+   * Stores the owner of a key.
    *
-   * @returns Whether there was room.
+   * @returns Whether it was stored; false if the table is full.
    */
   put(slot: number, key: string, owner: messages.ClaimOwner): boolean {
-    const name = getName(slot, key);
+    const name = getEntryKey(slot, key);
     const usedAt = kernel.getMonotonicMilliseconds();
-    if (!this.#entries.has(name) && !this.#makeRoom(usedAt)) {
+    if (!this.#entries.has(name) && !this.#evict(usedAt)) {
       return false;
     }
-    // Taken out first, so that the order stays that of last use.
+    // Deleted first, so that the entries stay in the order of last use.
     this.#entries.delete(name);
     this.#entries.set(name, { owner, usedAt });
     return true;
   }
 
-  /** Forgets a key that its user did not use. */
+  /** Removes a key whose claim was not used. */
   release(slot: number, key: string, claim: string): void {
-    const name = getName(slot, key);
+    const name = getEntryKey(slot, key);
     if (this.#entries.get(name)?.owner.claim === claim) {
       this.#entries.delete(name);
     }
   }
 
-  /** Forgets what is old; within the retention nothing is forgotten, however full the table is. */
-  #makeRoom(now: number): boolean {
-    const guarded = timings.getGuardedPeriod(this.#timing);
+  /**
+   * Removes expired entries, and older entries if the table is full. An entry within the protected
+   * period is never removed.
+   *
+   * @returns Whether there is room for another entry.
+   */
+  #evict(now: number): boolean {
+    const protectedPeriod = timings.getProtectedPeriod(this.#timing);
     for (const [name, entry] of this.#entries) {
       const age = now - entry.usedAt;
       const isFull = this.#entries.size >= this.#maxEntries;
-      if (age <= guarded || (age <= this.#timing.memory && !isFull)) {
+      if (age <= protectedPeriod || (age <= this.#timing.maxEntryAge && !isFull)) {
         return !isFull;
       }
       this.#entries.delete(name);
@@ -79,6 +84,6 @@
   }
 }
 
-function getName(slot: number, key: string): string {
+function getEntryKey(slot: number, key: string): string {
   return `${slot} ${key}`;
 }
--- a/packages/claims/src/slot_voter.ts
+++ b/packages/claims/src/slot_voter.ts
@@ -1,5 +1,5 @@
 /**
- * The votes of one VM: for each slot, whom it has promised the slot to, and until when.
+ * The votes of one VM: for each slot, which VM it has promised the slot to, and until when.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -8,29 +8,29 @@
 import * as timings from "./claim_timing.ts";
 import * as slots from "./slots.ts";
 
-/** A slot without a known holder is asked again after this time. */
+/** Wait before a slot without a known holder is asked again. */
 const NO_HOLDER_WAIT_MILLISECONDS = 1_000;
 
-/** A VM that holds a slot, as far as it was heard. */
+/** The VM that last reported holding a slot. */
 export interface SlotHolderHint {
   readonly vm: model.VmId;
   readonly incarnation: model.Incarnation;
 }
 
-/** What a VM has promised to one incarnation of another. */
+/** A promise of a slot to one incarnation of a VM. */
 interface VotePromise {
   readonly end: number;
-  /** Latest round of votes that the promise was given in. */
+  /** Latest round of votes in which the promise was made. */
   readonly round: number;
 }
 
-/** Votes and the directory of holders. */
+/** Votes on slots, and the known holders of slots. */
 export class SlotVoter {
   readonly #timing: timings.ClaimTiming;
   readonly #started = kernel.getMonotonicMilliseconds();
-  /** For each slot, the last promise to each incarnation. */
+  /** For each slot, the last promise to each incarnation of a VM. */
   readonly #promises: Map<string, VotePromise>[] = Array.from(
-    { length: slots.SLOTS },
+    { length: slots.SLOT_COUNT },
     () => new Map<string, VotePromise>(),
   );
   readonly #holders = new Map<number, SlotHolderHint>();
@@ -42,10 +42,10 @@
   /**
    * Votes for a VM as the holder of a slot.
    *
-   * @param lease How long the vote binds, from now.
+   * @param lease Milliseconds from now for which the vote is binding.
    * @param round Number of the candidate's round of votes.
    * @returns For how many milliseconds no other VM can have held the slot by a vote of this one;
-   * undefined when it does not vote.
+   * undefined if it does not vote.
    */
   vote(
     slot: number,
@@ -54,14 +54,15 @@
     round: number,
   ): number | undefined {
     const now = kernel.getMonotonicMilliseconds();
-    // An earlier process of this VM may have voted, and its votes bind until the longest lease ends.
-    const abstention = this.#timing.maxLease * (1 + timings.CLOCK_DRIFT);
+    // A previous process of this VM may have voted. Its votes are binding for up to the longest
+    // lease.
+    const abstention = this.#timing.maxLease * (1 + timings.MAX_CLOCK_DRIFT);
     const uptime = now - this.#started;
     if (uptime < abstention || lease > this.#timing.maxLease) {
       return undefined;
     }
     const promises = this.#getPromises(slot);
-    const candidateName = getName(candidate);
+    const candidateName = getCandidateKey(candidate);
     let othersEnd = Number.NEGATIVE_INFINITY;
     for (const [name, promise] of promises) {
       if (name !== candidateName) {
@@ -71,28 +72,28 @@
     if (othersEnd > now) {
       return undefined;
     }
-    this.#forget(promises, now);
+    this.#removeExpired(promises, now);
     const earlier = promises.get(candidateName);
-    // A request that was overtaken must not shorten a promise or make it look older.
+    // A request that arrives out of order must not shorten a promise or lower its round.
     promises.set(candidateName, {
       end: Math.max(now + lease, earlier?.end ?? 0),
       round: Math.max(round, earlier?.round ?? 0),
     });
-    // Votes that this VM's earlier process gave count until twice the longest lease.
+    // Votes of this VM's previous process count until twice the longest lease after the start.
     return Math.max(0, Math.min(uptime - 2 * abstention, now - othersEnd));
   }
 
   /**
-   * Takes a vote back on the wish of its holder.
+   * Withdraws a vote at the request of the candidate.
    *
-   * @param round The round of votes after which the holder wished it.
-   * @param neverHeld The votes never made the VM a holder, so they leave no trace.
+   * @param round The candidate's latest round of votes at the time of the request.
+   * @param neverHeld The candidate never held the slot, so the promise is deleted without a trace.
    */
   release(slot: number, candidate: fleet.VmIdentity, round: number, neverHeld: boolean): void {
     const promises = this.#getPromises(slot);
-    const name = getName(candidate);
+    const name = getCandidateKey(candidate);
     const promise = promises.get(name);
-    // A late release must not take back the vote of a later round.
+    // A delayed release must not withdraw the vote of a later round.
     if (promise === undefined || promise.round > round) {
       return;
     }
@@ -107,51 +108,51 @@
   /** Whether a slot is promised to a VM other than the given one. */
   isPromisedToOther(slot: number, candidate: fleet.VmIdentity): boolean {
     const now = kernel.getMonotonicMilliseconds();
-    const name = getName(candidate);
+    const name = getCandidateKey(candidate);
     return [...this.#getPromises(slot)].some(
       ([other, promise]) => other !== name && promise.end > now,
     );
   }
 
-  /** Notes that a VM says it holds a slot. */
-  noteHolder(slot: number, holder: SlotHolderHint): void {
+  /** Records a VM that reports holding a slot. */
+  recordHolder(slot: number, holder: SlotHolderHint): void {
     this.#holders.set(slot, { vm: holder.vm, incarnation: holder.incarnation });
   }
 
   /**
-   * How long a caller should wait for a slot that nobody is heard to hold.
+   * Estimates how long a caller should wait for a slot without a known holder.
    *
-   * After one lease without any holder the fleet itself must have started lately, and its slots grant
-   * nothing before its VMs can vouch for the retention.
+   * If no slot has a known holder one lease after the start of this VM, the whole fleet must have
+   * started recently. Its slots grant no claims before its votes cover the protected period.
    */
   estimateWait(): number {
     const uptime = kernel.getMonotonicMilliseconds() - this.#started;
     if (this.#holders.size > 0 || uptime < this.#timing.minLease) {
       return NO_HOLDER_WAIT_MILLISECONDS;
     }
-    const abstention = this.#timing.maxLease * (1 + timings.CLOCK_DRIFT);
-    const coldStart = 2 * abstention + timings.getGuardedPeriod(this.#timing);
+    const abstention = this.#timing.maxLease * (1 + timings.MAX_CLOCK_DRIFT);
+    const coldStart = 2 * abstention + timings.getProtectedPeriod(this.#timing);
     return Math.max(NO_HOLDER_WAIT_MILLISECONDS, coldStart - uptime);
   }
 
-  /** Who was last heard to hold a slot. */
+  /** The VM that last reported holding a slot. */
   findHolder(slot: number): SlotHolderHint | undefined {
     return this.#holders.get(slot);
   }
 
-  #forget(promises: Map<string, VotePromise>, now: number): void {
+  #removeExpired(promises: Map<string, VotePromise>, now: number): void {
     for (const [name, promise] of promises) {
-      if (now - promise.end > this.#timing.memory + this.#timing.retention) {
+      if (now - promise.end > this.#timing.maxEntryAge + this.#timing.retention) {
         promises.delete(name);
       }
     }
   }
 
   #getPromises(slot: number): Map<string, VotePromise> {
-    return kernel.getDefined(this.#promises[slot], "Slots are checked numbers.");
+    return kernel.getDefined(this.#promises[slot], "Slot numbers are validated.");
   }
 }
 
-function getName(identity: fleet.VmIdentity): string {
+function getCandidateKey(identity: fleet.VmIdentity): string {
   return `${identity.vm} ${identity.incarnation}`;
 }
--- a/packages/claims/src/types.ts
+++ b/packages/claims/src/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types through which the gateway makes sure that a caller's own repeat does not run again.
+ * Types by which the gateway ensures that a request that a caller repeats does not run again.
  */
 
 import type * as kernel from "@hemlockwalk/kernel";
@@ -16,36 +16,36 @@
   readonly deadlineMilliseconds: number;
 }
 
-/** An answer that is kept for the caller's repeats. */
+/** A response that is stored for the caller's repeated requests. */
 export interface StoredAnswer {
   readonly status: number;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
 }
 
 /** The right to run a request. Exactly one of its methods is called, once. */
 export interface Claim {
-  /** The request ran and this is its answer; undefined when the answer was too large to keep. */
+  /** The request ran and this is its response; undefined if the response was too large to store. */
   complete(answer: StoredAnswer | undefined): void;
   /** The request provably did not run; the key may be used again. */
   abandon(): void;
-  /** It is not known whether the request ran; no repeat may run. */
+  /** It is not known whether the request ran; no repeated request may run. */
   fail(): void;
 }
 
 /** What a VM may do with a request that carries an `Idempotency-Key`. */
 export type ClaimDecision =
   | { readonly kind: "granted"; readonly claim: Claim }
-  /** It ran before; the caller gets the stored answer. */
+  /** The request ran before; the caller receives the stored response. */
   | { readonly kind: "stored"; readonly answer: StoredAnswer }
-  /** It runs now, on this VM or another. */
+  /** The request is running, on this VM or another. */
   | { readonly kind: "running" }
-  /** It ran or may have run, and no answer is kept. */
+  /** The request ran or may have run, and no response is stored. */
   | { readonly kind: "unknown" }
   /** The key was used for a different request. */
   | { readonly kind: "mismatch" }
-  /** Too few VMs could be asked; the request did not run. */
+  /** The claim could not be decided; the request did not run. */
   | { readonly kind: "unavailable"; readonly retryAfterMilliseconds: number };
 
 /** Decides on requests that carry an `Idempotency-Key`, over the whole fleet. */
--- a/packages/claims/test/claim_fleet.ts
+++ b/packages/claims/test/claim_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Several VMs with claim stores over an in-memory network, whose views of the fleet the test sets.
+ * Several VMs with claim stores over an in-memory network. The test sets their views of the fleet.
  */
 
 import * as testRunner from "node:test";
@@ -11,23 +11,23 @@
 import * as model from "@hemlockwalk/model";
 import * as claims from "../src/mod.ts";
 
-/** Short periods, so that a history crosses all of them. */
+/** Short periods, so that each of them expires within a history. */
 export const TIMING: claims.ClaimTiming = {
   retention: 10_000,
-  memory: 40_000,
+  maxEntryAge: 40_000,
   minLease: 2_000,
   maxLease: 3_000,
 };
 
-/** After this time a fleet that was started together grants claims. */
+/** Time after which a fleet whose VMs were all started at once grants claims. */
 export const COLD_START_MILLISECONDS = 22_000;
 
-/** Time that a claim gets. */
+/** Time from a claim to its deadline. */
 export const CLAIM_MILLISECONDS = 3_000;
 
 const STEP_MILLISECONDS = 20;
 
-/** Step while nothing but the passing of time matters. */
+/** Clock step for periods without claims. */
 const WAIT_STEP_MILLISECONDS = 100;
 
 /** One simulated VM. */
@@ -45,7 +45,7 @@
   return { getSnapshot: () => snapshot, isReady: () => true, onChange: () => undefined };
 }
 
-/** A fleet of as many VMs as may exist. */
+/** A simulated fleet of a fixed number of VMs. */
 export class ClaimFleet {
   readonly hub = new fleetTesting.MemoryHub();
   readonly clock = new kernelTesting.TestClock();
@@ -63,7 +63,7 @@
     this.#vmLimit = vmLimit;
     this.#timing = timing;
     let state = seed;
-    // A linear congruential generator, so that a history runs the same way again.
+    // A seeded linear congruential generator, so that a history is repeatable.
     this.#random = testRunner.mock.method(Math, "random", () => {
       state = (Math.imul(state, 1_664_525) + 1_013_904_223) >>> 0;
       return state / 2 ** 32;
@@ -85,12 +85,12 @@
     await this.clock.advance(milliseconds, STEP_MILLISECONDS);
   }
 
-  /** Advances the clock in coarse steps, through a time without claims. */
+  /** Advances the clock in coarse steps, for a period without claims. */
   async wait(milliseconds: number): Promise<void> {
     await this.clock.advance(milliseconds, WAIT_STEP_MILLISECONDS);
   }
 
-  /** Makes a claim, with a deadline counted from now. */
+  /** Makes a claim with the usual deadline. */
   claim(index: number, key: string, fingerprint = "f"): Promise<claims.ClaimDecision> {
     return this.getVm(index).store.claim({
       workspace: model.createWorkspaceId("antwerp"),
@@ -112,7 +112,7 @@
     return decision;
   }
 
-  /** Ends a VM without notice; another process takes its place at once. */
+  /** Ends a VM without notice and starts another process under its identifier immediately. */
   async replace(index: number): Promise<ClaimVm> {
     const earlier = this.getVm(index);
     earlier.isDead = true;
@@ -141,7 +141,7 @@
     this.#applyLinks();
   }
 
-  /** Cuts all links between the given VMs and the others, both ways. */
+  /** Cuts all links between the given VMs and the others, in both directions. */
   part(side: readonly number[]): void {
     for (let from = 0; from < this.#count; from++) {
       for (let to = 0; to < this.#count; to++) {
@@ -163,13 +163,13 @@
     }
   }
 
-  /** Sets what a VM believes of the fleet; it always believes in itself. */
+  /** Sets a VM's view of the fleet. The view always includes the VM itself. */
   setView(index: number, others: readonly number[]): void {
     const vm = this.getVm(index);
     vm.membership.set(this.#createMembers([...new Set([index, ...others])].sort()));
   }
 
-  /** Ends all cuts, delays and pauses, and gives everyone the whole view. */
+  /** Ends all cuts, delays and pauses, and gives all VMs the complete view. */
   heal(): void {
     this.#cuts.clear();
     for (const index of [...this.#paused]) {
@@ -207,8 +207,8 @@
       dataCentre: model.createDataCentreId("north-1"),
     };
     const network = this.hub.connect(identity);
-    const everyone = Array.from({ length: this.#count }, (_, other) => other);
-    const membership = new fleetTesting.FixedMembership(identity, this.#createMembers(everyone));
+    const allIndexes = Array.from({ length: this.#count }, (_, other) => other);
+    const membership = new fleetTesting.FixedMembership(identity, this.#createMembers(allIndexes));
     const store = new claims.FleetClaimStore({
       network,
       membership,
--- a/packages/claims/test/claim_histories.ts
+++ b/packages/claims/test/claim_histories.ts
@@ -1,5 +1,5 @@
 /**
- * Random histories of a fleet with claims, each checked against the oracle.
+ * Random histories of a fleet with claims, each of which is checked against the oracle.
  */
 
 import * as fc from "fast-check";
@@ -9,20 +9,20 @@
 const VMS = 5;
 const KEYS = 3;
 
-/** What may happen in a history. */
+/** A step of a history. */
 export type Step =
   | { readonly kind: "claim"; readonly vm: number; readonly key: number; readonly other: boolean }
   | { readonly kind: "settle"; readonly how: "complete" | "abandon" | "fail" }
-  | { readonly kind: "cut" | "mend"; readonly from: number; readonly to: number }
+  | { readonly kind: "cut" | "heal"; readonly from: number; readonly to: number }
   | { readonly kind: "delay"; readonly from: number; readonly to: number; readonly by: number }
-  | { readonly kind: "pause" | "resume" | "replace" | "roll"; readonly vm: number }
+  | { readonly kind: "pause" | "resume" | "replace" | "replaceThree"; readonly vm: number }
   | { readonly kind: "view" | "part"; readonly vm: number; readonly others: readonly number[] }
   | { readonly kind: "wait"; readonly milliseconds: number };
 
 const vmIndex = fc.integer({ min: 0, max: VMS - 1 });
 const someVms = fc.uniqueArray(vmIndex, { maxLength: VMS });
 
-/** One thing that happens to the fleet, or that a caller does. */
+/** A fault, a change of the fleet, or an action of a caller. */
 const step: fc.Arbitrary<Step> = fc.oneof(
   {
     weight: 6,
@@ -43,7 +43,7 @@
   {
     weight: 2,
     arbitrary: fc.record({
-      kind: fc.constantFrom("cut" as const, "mend" as const),
+      kind: fc.constantFrom("cut" as const, "heal" as const),
       from: vmIndex,
       to: vmIndex,
     }),
@@ -64,7 +64,7 @@
         "pause" as const,
         "resume" as const,
         "replace" as const,
-        "roll" as const,
+        "replaceThree" as const,
       ),
       vm: vmIndex,
     }),
@@ -86,14 +86,16 @@
   },
 );
 
-/** Keeps a check whose failure is reported at the end of the history. */
+/** Adds a check whose failure is reported at the end of the history. */
 function track(pending: Promise<void>[], check: Promise<void>): void {
-  // Without a handler, the failure would end the process before the history does.
+  // Without a handler, a rejection would end the process before the end of the history.
   check.catch(() => undefined);
   pending.push(check);
 }
 
-/** Replaces three VMs one after the other, as soon as the votes of each count, and claims again. */
+/**
+ * Replaces three VMs one after another, each as soon as the previous one votes, and claims again.
+ */
 async function replaceThree(
   fleet: fleets.ClaimFleet,
   oracle: oracles.ClaimOracle,
@@ -124,7 +126,7 @@
       oracle.settleOldest(next.how);
       return;
     case "cut":
-    case "mend":
+    case "heal":
       fleet.setCut(next.from, next.to, next.kind === "cut");
       return;
     case "delay":
@@ -139,7 +141,7 @@
     case "replace":
       await fleet.replace(next.vm);
       return;
-    case "roll":
+    case "replaceThree":
       await replaceThree(fleet, oracle, pending, next.vm);
       return;
     case "view":
@@ -158,10 +160,10 @@
   }
 }
 
-/** Any history. */
+/** Generates random histories. */
 export const history = fc.array(step, { minLength: 15, maxLength: 60 });
 
-/** Runs a history and returns how often each decision was taken. */
+/** Runs a history and returns the number of decisions of each kind. */
 export async function runHistory(steps: readonly Step[]): Promise<ReadonlyMap<string, number>> {
   const fleet = new fleets.ClaimFleet(VMS, 1);
   try {
--- a/packages/claims/test/claim_oracle.ts
+++ b/packages/claims/test/claim_oracle.ts
@@ -1,13 +1,13 @@
 /**
- * A list of everything that was claimed, against which each decision is checked.
+ * An oracle that records all claims and checks each decision against them.
  */
 
 import assert from "node:assert/strict";
 import type * as claims from "../src/mod.ts";
 import * as fleets from "./claim_fleet.ts";
 
-/** Messages may be under way for so long when a state is told. */
-const TELLING_MILLISECONDS = 1_500;
+/** How long a claim may still be reported as running after it was settled. */
+const STALE_OUTCOME_MILLISECONDS = 1_500;
 
 interface Grant {
   readonly key: string;
@@ -25,7 +25,7 @@
   readonly fingerprint: string;
 }
 
-/** Knows what ran, and whether what callers were told is true. */
+/** Records claims and grants, and checks that each decision is consistent with them. */
 export class ClaimOracle {
   readonly #fleet: fleets.ClaimFleet;
   readonly #grants: Grant[] = [];
@@ -37,21 +37,21 @@
     this.#fleet = fleet;
   }
 
-  /** Makes a claim whose decision is checked when it comes. */
+  /** Makes a claim and checks its decision. */
   claim(index: number, key: string, fingerprint: string): Promise<void> {
     const vm = this.#fleet.getVm(index);
     const deadline = this.#fleet.clock.monotonicMilliseconds + fleets.CLAIM_MILLISECONDS;
     const own = { key, fingerprint };
     this.#attempts.push(own);
     return this.#fleet.claim(index, key, fingerprint).then((decision) => {
-      // What a dead VM would do does not happen.
+      // A decision on a dead VM has no effect.
       if (!vm.isDead) {
         this.#check(vm, key, fingerprint, decision, deadline, own);
       }
     });
   }
 
-  /** Settles the oldest claim that still runs. */
+  /** Settles the oldest claim that is still running. */
   settleOldest(how: "complete" | "abandon" | "fail"): void {
     const grant = this.#grants.find((candidate) =>
       candidate.settled === undefined && !candidate.vm.isDead
@@ -86,11 +86,11 @@
     const now = this.#fleet.clock.monotonicMilliseconds;
     this.decisions.set(decision.kind, (this.decisions.get(decision.kind) ?? 0) + 1);
     const grants = this.#grants.filter((grant) => grant.key === key);
-    // Another attempt may have begun after this one and still hold the key before its decision.
+    // Another attempt may have started after this one and may hold the key before it is decided.
     const others = this.#attempts.filter((attempt) => attempt !== own && attempt.key === key);
     switch (decision.kind) {
       case "granted":
-        assert.ok(now <= deadline, "A grant after the deadline is of no use.");
+        assert.ok(now <= deadline, "A claim must not be granted after its deadline.");
         this.#checkGrant(grants, now);
         this.#grants.push({
           key,
@@ -109,24 +109,24 @@
             grant.settled === "completed" && grant.fingerprint === fingerprint &&
             grant.body === Buffer.from(decision.answer.body).toString()
           ),
-          "A stored answer is the answer of a claim on the same key.",
+          "A stored response must be the response of a claim on the same key.",
         );
         return;
       case "running":
         assert.ok(
           grants.some((grant) =>
-            grant.settled === undefined || now - grant.settledAt < TELLING_MILLISECONDS
+            grant.settled === undefined || now - grant.settledAt < STALE_OUTCOME_MILLISECONDS
           ),
-          "Something runs.",
+          "A claim on the key must be running.",
         );
         return;
       case "unknown":
-        assert.ok(others.length > 0, "Something may have run.");
+        assert.ok(others.length > 0, "Another claim on the key must exist.");
         return;
       case "mismatch":
         assert.ok(
           others.some((attempt) => attempt.fingerprint !== fingerprint),
-          "The key was used for another request.",
+          "The key must have been used for another request.",
         );
         return;
       case "unavailable":
--- a/packages/claims/test/fleet_claim_store_test.ts
+++ b/packages/claims/test/fleet_claim_store_test.ts
@@ -1,5 +1,6 @@
 /**
- * At most one run for each key, whatever VMs believe, and the truth for every repeat.
+ * At most one run for each key whatever the VMs' views of the fleet are, and a correct decision for
+ * each repeated request.
  */
 
 import assert from "node:assert/strict";
@@ -26,7 +27,7 @@
 }
 
 test.describe("claims over the fleet", () => {
-  test.it("never grants a key twice and tells every repeat the truth", async () => {
+  test.it("never grants a key twice and decides correctly on every repeat", async () => {
     const total = new Map<string, number>();
     await fc.assert(
       fc.asyncProperty(histories.history, async (steps) => {
@@ -36,18 +37,18 @@
       }),
       kernelTesting.getRandomRuns(41, 25),
     );
-    // The histories must reach every kind of decision, or they show little.
+    // The histories must cover every kind of decision.
     for (const kind of ["granted", "stored", "running", "unknown", "mismatch", "unavailable"]) {
       assert.ok((total.get(kind) ?? 0) > 0, `No decision was '${kind}'.`);
     }
   });
 
-  test.it("answers a repeat through another VM by what became of the first", async () => {
+  test.it("answers a repeat through another VM by the outcome of the first", async () => {
     await withFleet(async (fleet) => {
       await fleet.wait(fleets.TIMING.minLease);
       const cold = await fleet.claimNow(0, "k");
       assert.ok(cold.kind === "unavailable");
-      // The caller is told to come back after the cold start and not every second.
+      // The caller is asked to retry after the cold start and not every second.
       assert.ok(cold.retryAfterMilliseconds > fleets.TIMING.retention);
       await fleet.wait(fleets.COLD_START_MILLISECONDS);
       const first = await fleet.claimNow(0, "k");
@@ -80,9 +81,9 @@
     });
   });
 
-  test.it("grants nothing again after all VMs were replaced within the retention", async () => {
-    // The retention is longer than the replacement of all VMs, each after the other's votes count.
-    const timing = { ...fleets.TIMING, retention: 40_000, memory: 60_000 };
+  test.it("grants no key again after all VMs were replaced within the retention", async () => {
+    // All VMs are replaced within the retention, each after the previous one has begun to vote.
+    const timing = { ...fleets.TIMING, retention: 40_000, maxEntryAge: 60_000 };
     await withFleet(async (fleet) => {
       await fleet.wait(60_000);
       const first = await fleet.claimNow(0, "k");
@@ -99,7 +100,7 @@
     }, timing);
   });
 
-  test.it("grants on at most one side of a partition, for as long as it lasts", async () => {
+  test.it("grants claims on at most one side of a partition", async () => {
     await withFleet(async (fleet) => {
       await fleet.wait(fleets.COLD_START_MILLISECONDS);
       const north = [0, 1];
@@ -118,7 +119,7 @@
     });
   });
 
-  test.it("lets a holder that is cut off stop, and its successor wait for the retention", async () => {
+  test.it("stops grants at an isolated holder and delays those of its successor", async () => {
     await withFleet(async (fleet) => {
       const setCandidate = (indexes: readonly number[], candidate: number) => {
         for (const index of indexes) {
@@ -142,7 +143,7 @@
       used.claim.fail();
       assert.equal(fleet.getVm(0).store.heldSlots, 64);
 
-      // The first holder is cut off for good, and another takes its slots from the same voters.
+      // The first holder stays cut off, and another VM acquires its slots from the same voters.
       fleet.part([0]);
       setCandidate([1, 2, 3, 4], 1);
       await fleet.wait(fleets.TIMING.minLease * 3);
@@ -155,7 +156,7 @@
     });
   });
 
-  test.it("does not vote just after its start, nor take back a later vote", async () => {
+  test.it("does not vote just after its start, nor withdraw a later vote", async () => {
     await withFleet(async (fleet) => {
       const voter = new slotVoters.SlotVoter(fleets.TIMING);
       const candidates = [0, 1].map((index) => fleet.getVm(index).identity);
