--- a/packages/kernel/src/assert.ts
+++ b/packages/kernel/src/assert.ts
@@ -1,8 +1,8 @@
 /**
- * Assertions for conditions that cannot occur unless the code itself is wrong.
+ * Assertions for conditions that only a bug in the code can violate.
  */
 
-/** Thrown by a failed assertion. Nothing catches it on purpose. */
+/** Thrown by a failed assertion. It reports a bug, so no code handles it specifically. */
 export class AssertionError extends Error {
   override readonly name = "AssertionError";
 }
--- a/packages/kernel/src/bounded_output.ts
+++ b/packages/kernel/src/bounded_output.ts
@@ -1,19 +1,19 @@
 /**
- * Standard output that never blocks.
+ * Non-blocking standard output.
  *
- * Writing to a pipe that nobody reads would stop the process. Lines that the reader has not taken
- * wait up to a bound; beyond it they are dropped and counted.
+ * A write to a full pipe that nobody reads would block the process. Unread lines are buffered up to
+ * a limit; further lines are dropped and counted.
  */
 
 import * as net from "node:net";
 import * as stream from "node:stream";
 
-/** Bytes that may wait for a slow reader. */
-const MAX_WAITING_BYTES = 524_288;
+/** Bytes that are buffered for a slow reader before lines are dropped. */
+const MAX_BUFFERED_BYTES = 524_288;
 
 const STANDARD_OUTPUT = 1;
 
-/** A sink for log lines. */
+/** A stream of log lines that drops lines instead of blocking. */
 export class BoundedOutput extends stream.Writable {
   readonly #sink: stream.Writable;
   #dropped = 0;
@@ -21,13 +21,13 @@
   constructor(sink: stream.Writable) {
     super({ decodeStrings: false });
     this.#sink = sink;
-    // A reader that has gone away ends the log, not the process.
+    // A reader that closes the pipe ends the log output but not the process.
     sink.on("error", () => {
       this.#dropped++;
     });
   }
 
-  /** Lines dropped so far. */
+  /** Number of lines dropped so far. */
   get dropped(): number {
     return this.#dropped;
   }
@@ -37,7 +37,7 @@
     _encoding: BufferEncoding,
     callback: (error?: Error | null) => void,
   ): void {
-    if (this.#sink.destroyed || this.#sink.writableLength > MAX_WAITING_BYTES) {
+    if (this.#sink.destroyed || this.#sink.writableLength > MAX_BUFFERED_BYTES) {
       this.#dropped++;
     } else {
       this.#sink.write(line);
@@ -46,12 +46,12 @@
   }
 }
 
-/** Standard output as a sink that never blocks. */
+/** Creates a stream that writes to standard output without blocking. */
 export function createStandardOutput(): BoundedOutput {
   try {
     return new BoundedOutput(new net.Socket({ fd: STANDARD_OUTPUT, readable: false }));
   } catch {
-    // A file is no socket, and writing to a file does not wait for a reader.
+    // Standard output is a file, which is not a socket. Writes to it do not wait for a reader.
     return new BoundedOutput(process.stdout);
   }
 }
--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -1,14 +1,14 @@
 /**
- * Elapsed time and waiting.
+ * Elapsed time, delays and timers.
  *
- * Everything that guards a promise (leases, expiry, deadlines) measures elapsed time here, on the
- * runtime's monotonic clock, which neither a wall-clock step nor a time zone can move. Tests replace
- * the clock of the runtime itself, so no clock is passed around.
+ * Leases, expiry and deadlines are measured with the monotonic clock of the runtime, which changes
+ * of the wall clock or the time zone do not affect. Tests mock the clock of the runtime itself, so
+ * no clock object is passed as a parameter.
  */
 
 import * as events from "node:events";
 
-/** Milliseconds on the monotonic clock of the process. Only differences have a meaning. */
+/** Milliseconds on the monotonic clock of the process. Only differences are meaningful. */
 export function getMonotonicMilliseconds(): number {
   return performance.now();
 }
@@ -25,7 +25,7 @@
     return Promise.resolve(false);
   }
   if (signal !== undefined) {
-    // Many tasks of one service wait on the service's signal; that is no leak.
+    // Many tasks of a service wait on its signal, so many listeners do not indicate a leak.
     events.EventEmitter.setMaxListeners(0, signal);
   }
   return new Promise((resolve) => {
@@ -41,19 +41,18 @@
   });
 }
 
-/** A timer that can be stopped. */
 export interface StoppableTimer {
   stop(): void;
 }
 
 /**
- * Starts a timer that waits for input.
+ * Starts a timer that lets pending input be handled before it fires.
  *
- * When the process was held up, timers that have become due run before the input that came meanwhile
- * is handled. This one lets such input be handled first, so that what has arrived is not taken for
- * missing.
+ * After the event loop was blocked, Node.js runs expired timers before it handles the input that
+ * arrived in the meantime. This timer handles such input first, so that data that has already
+ * arrived does not count as missing.
  *
- * @param milliseconds From now until the callback, at least.
+ * @param milliseconds Minimum time until the callback runs.
  */
 export function startInputTimer(callback: () => void, milliseconds: number): StoppableTimer {
   let immediate: NodeJS.Immediate | undefined;
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -1,15 +1,14 @@
 /**
  * The micro-kernel of one VM.
  *
- * Services are registered under a name, find each other by that name, start in the order of
- * registration and stop in the reverse order. One process normally holds one kernel; tests hold
- * several, one for each VM.
+ * Services are registered and looked up by name. They start in the order of registration and stop
+ * in the reverse order. A process normally has one kernel; tests create one for each VM.
  */
 
 import * as assertions from "./assert.ts";
 import type * as types from "./types.ts";
 
-/** Thrown when services are wired wrongly or used outside their life cycle. */
+/** Thrown when a service is registered twice or after the start, or is not registered. */
 export class KernelError extends Error {
   override readonly name = "KernelError";
 }
@@ -27,7 +26,7 @@
   readonly #started: types.Service[] = [];
   #state: KernelState = "created";
 
-  /** Where the kernel stands in its life cycle. */
+  /** Current phase of the kernel's life cycle. */
   get state(): KernelState {
     return this.#state;
   }
@@ -35,21 +34,21 @@
   /**
    * Registers a service under its name.
    *
-   * @throws {KernelError} When the name is taken or the kernel has started.
+   * @throws {KernelError} When the name is already registered or the kernel has started.
    */
   register<T extends object>(name: types.ServiceName<T>, service: T): T {
     if (this.#state !== "created") {
-      throw new KernelError(`Service '${name}' is registered after the start.`);
+      throw new KernelError(`Service '${name}' cannot be registered after the kernel has started.`);
     }
     if (this.#services.has(name)) {
-      throw new KernelError(`Service '${name}' is registered twice.`);
+      throw new KernelError(`Service '${name}' is already registered.`);
     }
     this.#services.set(name, service);
     return service;
   }
 
   /**
-   * Finds a service by its name.
+   * Looks up a service by its name.
    *
    * @throws {KernelError} When no such service is registered.
    */
@@ -61,14 +60,14 @@
     return service;
   }
 
-  /** Finds a service by its name; undefined when this VM has none. */
+  /** Looks up a service by its name; undefined when none is registered. */
   find<T>(name: types.ServiceName<T>): T | undefined {
     return this.#services.get(name) as T | undefined;
   }
 
-  /** Starts all services in the order of registration. A failure stops those already started. */
+  /** Starts all services in the order of registration. A failure stops the started ones. */
   async start(): Promise<void> {
-    assertions.assert(this.#state === "created", "A kernel starts once.");
+    assertions.assert(this.#state === "created", "The kernel can be started only once.");
     this.#state = "starting";
     try {
       for (const service of this.#services.values()) {
--- a/packages/kernel/src/log_messages.ts
+++ b/packages/kernel/src/log_messages.ts
@@ -1,20 +1,20 @@
 /**
- * The table of what a VM writes to its log.
+ * The numbered messages that a VM writes to its log.
  *
- * Numbers are stable: 1xxx concern the process and its settings, 2xxx the declarations and the store,
- * 3xxx other VMs, 4xxx targets, 5xxx requests. A withdrawn number is not used again. The operators'
- * page `docs/operators/log_messages.md` is made from this table.
+ * Numbers are stable: 1xxx concern the process and its settings, 2xxx the declarations and the
+ * store, 3xxx other VMs, 4xxx targets, 5xxx requests. A withdrawn number is not reused. The
+ * operators' page `docs/operators/log_messages.md` is generated from this table.
  */
 
 /** Levels of severity, lowest first. */
 export type LogLevel = "debug" | "info" | "warn" | "error";
 
-/** One row of the table. */
+/** One message of the table. */
 export interface LogMessage {
   readonly code: number;
   readonly level: LogLevel;
   readonly text: string;
-  /** What each field says. */
+  /** Meaning of each field. */
   readonly fields: Readonly<Record<string, string>>;
 }
 
@@ -25,39 +25,39 @@
     text: "Started.",
     fields: {
       dataCentre: "Data centre of this VM.",
-      firstStart: "Whether the whole system starts for the first time.",
-      seeds: "Addresses of the VMs through which the others are found.",
+      firstStart: "Whether this is the first start of the whole system.",
+      seeds: "Addresses of the seed VMs, through which this VM discovers the others.",
     },
   },
   stopping: {
     code: 1002,
     level: "info",
     text: "Stopping.",
-    fields: { signal: "Signal that asked for it." },
+    fields: { signal: "Signal that requested the stop." },
   },
   drained: {
     code: 1003,
     level: "info",
-    text: "Callers are drained.",
-    fields: { running: "Requests that were still running and are cut." },
+    text: "Draining of caller requests has ended.",
+    fields: { running: "Requests that were still running and are aborted." },
   },
   stopped: { code: 1004, level: "info", text: "Stopped.", fields: {} },
   settingsReread: {
     code: 1101,
     level: "info",
-    text: "The settings were read anew.",
-    fields: { seeds: "Addresses of the VMs through which the others are found." },
+    text: "The settings were reloaded.",
+    fields: { seeds: "Addresses of the seed VMs, through which this VM discovers the others." },
   },
   settingsRefused: {
     code: 1102,
     level: "error",
-    text: "The settings are refused; those in force stay.",
-    fields: { error: "What is wrong, with the place in the file." },
+    text: "The new settings are invalid; the current settings remain in effect.",
+    fields: { error: "What is wrong and where in the file." },
   },
   settingsUnreadable: {
     code: 1103,
     level: "warn",
-    text: "The settings file cannot be looked at.",
+    text: "The settings file cannot be accessed.",
     fields: { error: "Error of the file system." },
   },
   errorCaught: {
@@ -69,22 +69,22 @@
   versionTaken: {
     code: 2001,
     level: "info",
-    text: "Declarations are in force.",
+    text: "Declarations were applied.",
     fields: {
       version: "Version of the declarations.",
-      from: "Where they came from: `store`, or `peer` for another VM.",
+      from: "Source of the declarations: `store`, or `peer` for another VM.",
     },
   },
   versionRefused: {
     code: 2002,
     level: "error",
-    text: "Declarations are refused; those in force stay.",
-    fields: { revision: "Revision of the store.", error: "What is wrong with them." },
+    text: "The published declarations are invalid; the current declarations remain in effect.",
+    fields: { revision: "Revision of the store.", error: "What is wrong with the declarations." },
   },
   storeSilent: {
     code: 2101,
     level: "warn",
-    text: "The store gives no answer.",
+    text: "The store is unavailable.",
     fields: {
       failure: "How the call failed.",
       asOf: "Latest revision that this VM has read.",
@@ -93,8 +93,8 @@
   storeAnswers: {
     code: 2102,
     level: "info",
-    text: "The store answers again.",
-    fields: { silentMilliseconds: "Time without an answer to any VM." },
+    text: "The store is available again.",
+    fields: { silentMilliseconds: "Time without a response to any VM." },
   },
   linkLost: {
     code: 3001,
@@ -108,8 +108,8 @@
   reportUnreadable: {
     code: 3002,
     level: "warn",
-    text: "A report of another VM cannot be read.",
-    fields: { peer: "VM that sent or relayed it.", error: "What is wrong with it." },
+    text: "A report from another VM cannot be decoded.",
+    fields: { peer: "VM that sent or relayed the report.", error: "What is wrong with it." },
   },
   targetChanged: {
     code: 4001,
@@ -119,51 +119,51 @@
       target: "The target.",
       state: "`ready`, `draining` or `gone`.",
       revision: "Revision of the store.",
-      from: "`store`, or `peer` for another VM.",
+      from: "Source of the change: `store`, or `peer` for another VM.",
     },
   },
   entryUnusable: {
     code: 4002,
     level: "warn",
-    text: "An entry names no target.",
+    text: "A target entry of the store is invalid.",
     fields: { target: "Identifier of the entry.", error: "What is wrong with it." },
   },
   targetDoubted: {
     code: 4101,
     level: "info",
-    text: "A target is doubted.",
+    text: "A target is suspected.",
     fields: {
       target: "The target.",
-      sicknessBefore: "Believed probability of a bad spell before.",
-      sickness: "Believed probability of a bad spell now.",
-      cause: "Outcome of a call of this VM, or `told` by other VMs.",
+      sicknessBefore: "Estimated failure probability before.",
+      sickness: "Estimated failure probability now.",
+      cause: "Outcome of a call of this VM, or `told` for reports from other VMs.",
     },
   },
   targetTrusted: {
     code: 4102,
     level: "info",
-    text: "A target is trusted again.",
+    text: "A target has recovered.",
     fields: {
       target: "The target.",
-      sicknessBefore: "Believed probability of a bad spell before.",
-      sickness: "Believed probability of a bad spell now.",
-      cause: "Outcome of a call of this VM, or `told` by other VMs.",
+      sicknessBefore: "Estimated failure probability before.",
+      sickness: "Estimated failure probability now.",
+      cause: "Outcome of a call of this VM, or `told` for reports from other VMs.",
     },
   },
   targetUnreachable: {
     code: 4201,
     level: "info",
-    text: "A target cannot be reached.",
+    text: "A target is unreachable.",
     fields: {
       target: "The target.",
-      timeoutMilliseconds: "Time after which a connection was given up.",
+      timeoutMilliseconds: "Time after which the connection attempt was aborted.",
     },
   },
   targetReached: {
     code: 4202,
     level: "info",
-    text: "A target is reached again.",
-    fields: { target: "The target.", tests: "Bare connections that were tried." },
+    text: "A target is reachable again.",
+    fields: { target: "The target.", tests: "Test connections, the successful one included." },
   },
   requestEnded: {
     code: 5001,
@@ -171,16 +171,16 @@
     text: "A request has ended.",
     fields: {
       request: "Identifier that the caller sent.",
-      outcome: "`answered`, or why the proxy ended it itself.",
-      status: "Status of the answer; 0 without one.",
-      steps: "Every decision on the way with its inputs, as a JSON text.",
+      outcome: "`answered`, or the reason why the proxy itself ended the request.",
+      status: "Status of the response; 0 if there was none.",
+      steps: "Every decision about the request with its inputs, as JSON text.",
     },
   },
   storiesLeftOut: {
     code: 5002,
     level: "info",
     text: "Stories of requests were left out.",
-    fields: { count: "Requests that ended without a line, to bound the volume." },
+    fields: { count: "Requests that were not logged, to limit the volume of the log." },
   },
   requestBroken: {
     code: 5901,
@@ -190,44 +190,45 @@
   },
 } as const satisfies Record<string, LogMessage>;
 
-/** Decisions that stand in the steps of a request's story, with their inputs. */
+/** The steps of a request trace: decisions about the request with their inputs. */
 export const StorySteps = {
   accepted: {
     route: "Route of the request.",
-    service: "Service that was drawn by the route's weights.",
+    service: "Service that was selected by the weights of the route.",
     workspace: "Workspace of the caller's key.",
     version: "Version of the declarations in force.",
-    left: "Milliseconds until the final answer: the caller's deadline or the route's time-out.",
-    confirmedAge: "Milliseconds since any VM had an answer of the store.",
+    left: "Milliseconds left for the response, by the caller's deadline or the route's timeout.",
+    confirmedAge: "Milliseconds since the latest response of the store to any VM.",
   },
   unknown: {
     finding: "What was not found in the declarations in force.",
-    version: "Version of these; absent when there are none yet.",
-    confirmedAge: "As above; beyond 3,000 the answer is 503, since others may know more.",
+    version: "Version of the declarations; absent if there are none yet.",
+    confirmedAge: "As above; beyond 3,000 the response is 503, as other VMs may have newer data.",
   },
   over_rate: {
     workspace: "Workspace of the caller's key.",
-    rate: "Its declared rate, requests a second.",
+    rate: "Its declared rate in requests per second.",
     burst: "Its declared burst.",
-    level: "Tokens of the shared bucket, as far as this VM knows.",
+    level: "Tokens in the shared bucket, as estimated by this VM.",
     share: "Tokens that this VM may still take when the bucket is low.",
     vms: "VMs that are known to share the bucket.",
   },
-  waits: { ahead: "Requests of equal or higher rank that wait for the same service." },
+  waits: { ahead: "Queued requests for the same service with the same or a more urgent priority." },
   placed: {
     target: "The target.",
-    load: "Requests of all VMs there, as far as known.",
-    slots: "Requests that the target works on at once.",
-    sickness: "Believed probability of a bad spell.",
-    evidenceAge: "Milliseconds since the call began that last showed how the target is, on any VM.",
-    lookAfter: "Whether it was chosen to learn how the target is.",
-  },
-  answered: { target: "The target.", status: "Status of its answer." },
+    load: "Requests of all VMs that run on the target, as far as known.",
+    slots: "Requests that the target can run concurrently.",
+    sickness: "Estimated failure probability.",
+    evidenceAge:
+      "Milliseconds since the start of the latest call of any VM that showed its health.",
+    lookAfter: "Whether the target was chosen as a probe of its health.",
+  },
+  answered: { target: "The target.", status: "Status of its response." },
   not_run: { target: "The target.", reason: "How it is known that the request did not run." },
-  failed: { target: "The target.", reason: "Why there is no whole answer." },
-  retried: { retryLevel: "Share of the service's retries that was left." },
+  failed: { target: "The target.", reason: "Why there is no complete response." },
+  retried: { retryLevel: "Share of the service's retry budget that was left." },
   held_at_start: {
-    informed: "Whether declarations had come when the VM, which had just started, went on with it.",
+    informed: "Whether declarations had arrived when the newly started VM resumed the request.",
   },
-  no_retry_left: { retryLevel: "Share of the service's retries that was left." },
+  no_retry_left: { retryLevel: "Share of the service's retry budget that was left." },
 } as const;
--- a/packages/kernel/src/logging.ts
+++ b/packages/kernel/src/logging.ts
@@ -1,20 +1,20 @@
 /**
- * Structured logs. Each part of the daemon writes short sentences behind its own fixed prefix.
+ * Structured logs. Each component of the daemon prefixes its messages with its name.
  */
 
 import process from "node:process";
 import bunyan from "bunyan";
 import type * as messages from "./log_messages.ts";
 
-/** Named values that go beside a sentence. Never a caller's key. */
+/** Named values that are logged with a message. They must not contain a caller's key. */
 export type LogFields = Record<string, string | number | boolean | undefined>;
 
-/** Creates the root logger of one VM, which writes one JSON object a line to standard output. */
+/** Creates the root logger of one VM, which writes one JSON object per line to standard output. */
 export function createRootLogger(vm: string, level: messages.LogLevel): bunyan {
   return createOutputLogger(vm, level, process.stdout);
 }
 
-/** Creates the root logger of one VM, which writes one JSON object a line to the given output. */
+/** Creates the root logger of one VM, which writes one JSON object per line to the given output. */
 export function createOutputLogger(
   vm: string,
   level: messages.LogLevel,
@@ -23,7 +23,7 @@
   return bunyan.createLogger({ name: "hemlockwalk", vm, streams: [{ level, stream: output }] });
 }
 
-/** Values for fields of a message, which the table names. */
+/** Values of the fields that the table of messages defines for a message. */
 export type MessageFields<Message extends messages.LogMessage> = {
   readonly [Name in keyof Message["fields"]]?: string | number | boolean | undefined;
 };
@@ -33,17 +33,17 @@
   return bunyan.createLogger({ name: "hemlockwalk", level: bunyan.FATAL + 1 });
 }
 
-/** The logger of one part: a fixed prefix and short sentences. */
+/** Logger of one component, which prefixes each message with the name of the component. */
 export class PartLogger {
   readonly #logger: bunyan;
   readonly #prefix: string;
 
-  constructor(root: bunyan, part: string) {
-    this.#logger = root.child({ part });
-    this.#prefix = `${part}: `;
+  constructor(root: bunyan, component: string) {
+    this.#logger = root.child({ part: component });
+    this.#prefix = `${component}: `;
   }
 
-  /** Writes a message of the table, with its number. */
+  /** Logs a message of the table with its number. */
   write<Message extends messages.LogMessage>(
     message: Message,
     fields: MessageFields<Message> = {},
@@ -51,19 +51,19 @@
     this.#logger[message.level]({ code: message.code, ...fields }, this.#prefix + message.text);
   }
 
-  debug(sentence: string, fields: LogFields = {}): void {
-    this.#logger.debug(fields, this.#prefix + sentence);
+  debug(text: string, fields: LogFields = {}): void {
+    this.#logger.debug(fields, this.#prefix + text);
   }
 
-  info(sentence: string, fields: LogFields = {}): void {
-    this.#logger.info(fields, this.#prefix + sentence);
+  info(text: string, fields: LogFields = {}): void {
+    this.#logger.info(fields, this.#prefix + text);
   }
 
-  warn(sentence: string, fields: LogFields = {}): void {
-    this.#logger.warn(fields, this.#prefix + sentence);
+  warn(text: string, fields: LogFields = {}): void {
+    this.#logger.warn(fields, this.#prefix + text);
   }
 
-  error(sentence: string, fields: LogFields = {}): void {
-    this.#logger.error(fields, this.#prefix + sentence);
+  error(text: string, fields: LogFields = {}): void {
+    this.#logger.error(fields, this.#prefix + text);
   }
 }
--- a/packages/kernel/src/metrics.ts
+++ b/packages/kernel/src/metrics.ts
@@ -11,11 +11,11 @@
 
 const EXPORTED_QUANTILES = [0.5, 0.9, 0.99, 0.999] as const;
 
-/** All metrics of one VM. Two VMs in one process have separate ones. */
+/** All metrics of one VM. VMs that share a process have separate registries. */
 export class Metrics {
   readonly registry = new prometheus.Registry();
 
-  /** Creates a counter. Its name ends in `_total`. */
+  /** Creates a counter. Its name must end in `_total`. */
   createCounter<Label extends string>(
     name: string,
     help: string,
@@ -62,7 +62,7 @@
     numberOfSignificantValueDigits: 3,
   });
 
-  /** Number of latencies recorded. */
+  /** Number of recorded latencies. */
   get count(): number {
     return this.#histogram.totalCount;
   }
@@ -75,11 +75,11 @@
     );
   }
 
-  /** The latency in milliseconds below which the given share (0 to 1) of the calls lies. */
+  /** Returns the latency in milliseconds at a quantile between 0 and 1. */
   getQuantileMilliseconds(quantile: number): number {
     return this.#histogram.getValueAtPercentile(quantile * 100) / 1_000;
   }
 }
 
-/** The name under which the metrics of a VM are found. */
+/** Service name of the metrics. */
 export const METRICS = kernel.createServiceName<Metrics>("metrics");
--- a/packages/kernel/src/mod.ts
+++ b/packages/kernel/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The micro-kernel: services that find each other by name, time, logs and metrics.
+ * The micro-kernel: registration and lookup of services, clocks, logs and metrics.
  */
 
 export * from "./address.ts";
--- a/packages/kernel/src/pause_detector.ts
+++ b/packages/kernel/src/pause_detector.ts
@@ -1,8 +1,8 @@
 /**
- * Notices that the process did not run for a while.
+ * Detects pauses of the process.
  *
- * A VM that was paused wakes with an old view of the world. A short heartbeat timer that fires late
- * shows it. Measurements and evidence that span a pause are void.
+ * After a pause, the state that a VM holds is out of date. A late tick of a timer with a short
+ * interval indicates a pause. Measurements and health evidence that span a pause are invalid.
  */
 
 import * as clock from "./clock.ts";
@@ -11,28 +11,28 @@
 
 const HEARTBEAT_MILLISECONDS = 50;
 
-/** A heartbeat this late counts as a pause. */
+/** Delay from which a late heartbeat counts as a pause. */
 const PAUSE_THRESHOLD_MILLISECONDS = 250;
 
 /** Called with the length of the pause in milliseconds. */
 export type PauseListener = (milliseconds: number) => void;
 
-/** Service that tells when the process resumed after a pause. */
+/** Service that reports when the process has resumed after a pause. */
 export class PauseDetector implements types.Service {
   readonly #listeners: PauseListener[] = [];
   #timer: NodeJS.Timeout | undefined;
-  #lastBeat = 0;
-  #lastResume = Number.NEGATIVE_INFINITY;
+  #lastHeartbeatAt = 0;
+  #lastResumedAt = Number.NEGATIVE_INFINITY;
 
   /** Monotonic time of the latest resume after a pause; minus infinity when there was none. */
   get lastResumeMilliseconds(): number {
-    this.#beat();
-    return this.#lastResume;
+    this.#checkHeartbeat();
+    return this.#lastResumedAt;
   }
 
   start(): void {
-    this.#lastBeat = clock.getMonotonicMilliseconds();
-    this.#timer = setInterval(() => this.#beat(), HEARTBEAT_MILLISECONDS);
+    this.#lastHeartbeatAt = clock.getMonotonicMilliseconds();
+    this.#timer = setInterval(() => this.#checkHeartbeat(), HEARTBEAT_MILLISECONDS);
     this.#timer.unref?.();
   }
 
@@ -45,22 +45,22 @@
     this.#listeners.push(listener);
   }
 
-  #beat(): void {
+  #checkHeartbeat(): void {
     if (this.#timer === undefined) {
       return;
     }
     const now = clock.getMonotonicMilliseconds();
-    const late = now - this.#lastBeat - HEARTBEAT_MILLISECONDS;
-    this.#lastBeat = now;
-    if (late < PAUSE_THRESHOLD_MILLISECONDS) {
+    const delay = now - this.#lastHeartbeatAt - HEARTBEAT_MILLISECONDS;
+    this.#lastHeartbeatAt = now;
+    if (delay < PAUSE_THRESHOLD_MILLISECONDS) {
       return;
     }
-    this.#lastResume = now;
+    this.#lastResumedAt = now;
     for (const listener of this.#listeners) {
-      listener(late);
+      listener(delay);
     }
   }
 }
 
-/** The name under which the pause detector is found. */
+/** Service name of the pause detector. */
 export const PAUSE_DETECTOR = kernel.createServiceName<PauseDetector>("pause-detector");
--- a/packages/kernel/src/testing/loopback.ts
+++ b/packages/kernel/src/testing/loopback.ts
@@ -1,9 +1,9 @@
 /**
- * Ports on loopback that belong to one test process, and waiting for what happens there.
+ * Claims loopback ports for one test process and waits for conditions.
  *
- * Test files run as processes of their own, side by side. A port that one of them found free and
- * closed again may be taken by another before it is used, which then gets requests that were not
- * meant for it. So each port is claimed for as long as the process lives.
+ * Test files run in parallel processes. If one process finds a free port and closes it again,
+ * another process may bind it before the first one uses it, and then receives requests that were
+ * meant for the first. Each port is therefore claimed until the process exits.
  */
 
 import * as assert from "node:assert/strict";
@@ -11,27 +11,27 @@
 import process from "node:process";
 import * as kernel from "../mod.ts";
 
-/** Below the range from which the system takes ports for outgoing connections and for port 0. */
+/** Below the range from which the system assigns ports for outgoing connections and for port 0. */
 const LOWEST_PORT = 20_000;
 
-const PORTS = 10_000;
+const PORT_COUNT = 10_000;
 
-/** The next candidate; processes begin at different places, so that they seldom meet. */
-let next = process.pid % PORTS;
+/** Offset of the next candidate. Processes start at different offsets, so they rarely collide. */
+let nextOffset = process.pid % PORT_COUNT;
 
-/** The address on which a claim is held; the port stays free on 127.0.0.1. */
+/** Address on which a claimed port is bound, so that it stays free on 127.0.0.1. */
 const CLAIM_HOST = "127.0.0.2";
 
 const POLL_MILLISECONDS = 5;
 
-const LONGEST_WAIT_MILLISECONDS = 30_000;
+const MAX_WAIT_MILLISECONDS = 30_000;
 
-/** Claims a port of 127.0.0.1 for this process. Nothing listens there until the caller does. */
+/** Claims a port of 127.0.0.1 for this process. Nothing listens on it until the caller does. */
 export async function claimPort(): Promise<number> {
-  for (let tries = 0; tries < PORTS; tries++) {
-    const port = LOWEST_PORT + next;
-    next = (next + 1) % PORTS;
-    if (await isBindable("127.0.0.1", port) && await hold(port)) {
+  for (let attempt = 0; attempt < PORT_COUNT; attempt++) {
+    const port = LOWEST_PORT + nextOffset;
+    nextOffset = (nextOffset + 1) % PORT_COUNT;
+    if (await isBindable("127.0.0.1", port) && await bindClaim(port)) {
       return port;
     }
   }
@@ -46,17 +46,17 @@
 /**
  * Waits until a condition holds.
  *
- * @param what Names the condition when it never holds.
+ * @param what Describes the condition in the message of a failure.
  * @param milliseconds Longest time to wait.
  */
 export async function waitFor(
   condition: () => boolean | Promise<boolean>,
   what: string,
-  milliseconds = LONGEST_WAIT_MILLISECONDS,
+  milliseconds = MAX_WAIT_MILLISECONDS,
 ): Promise<void> {
   const endsAt = kernel.getMonotonicMilliseconds() + milliseconds;
   while (!await condition()) {
-    assert.ok(kernel.getMonotonicMilliseconds() < endsAt, `Not in time: ${what}`);
+    assert.ok(kernel.getMonotonicMilliseconds() < endsAt, `Timed out waiting for: ${what}`);
     await kernel.sleep(POLL_MILLISECONDS);
   }
 }
@@ -78,7 +78,7 @@
   return true;
 }
 
-async function hold(port: number): Promise<boolean> {
+async function bindClaim(port: number): Promise<boolean> {
   const server = await listen(CLAIM_HOST, port);
   server?.unref();
   return server !== undefined;
--- a/packages/kernel/src/testing/mod.ts
+++ b/packages/kernel/src/testing/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The clock of the runtime under the control of a test.
+ * A clock of the runtime that a test controls.
  *
- * Timers, the wall clock and the monotonic clock stand still until the test advances them together.
+ * Timers, the wall clock and the monotonic clock are paused until the test advances them together.
  */
 
 import * as testing from "node:test";
@@ -22,7 +22,7 @@
       apis: ["setTimeout", "setInterval", "Date"],
       now: 1_700_000_000_000,
     });
-    // A mock of the test runner would keep every call, of which a long history has millions.
+    // A mock of the test runner would record every call, and a long history makes millions.
     performance.now = () => this.#monotonic;
   }
 
@@ -32,10 +32,10 @@
   }
 
   /**
-   * Advances all clocks in steps and lets what became due run after each step.
+   * Advances all clocks in steps and runs the timers that are due after each step.
    *
    * @param milliseconds How far to advance.
-   * @param stepMilliseconds Length of a step. Shorter steps give a finer order of events.
+   * @param stepMilliseconds Length of a step. Shorter steps order events more precisely.
    */
   async advance(milliseconds: number, stepMilliseconds = 10): Promise<void> {
     let left = milliseconds;
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Gives the runtime its own clock back. */
+  /** Restores the clock of the runtime. */
   restore(): void {
     performance.now = this.#now;
     testing.mock.timers.reset();
--- a/packages/kernel/src/testing/random_runs.ts
+++ b/packages/kernel/src/testing/random_runs.ts
@@ -1,6 +1,6 @@
 /**
- * How often and from which seed a test with random histories runs: fixed in continuous integration,
- * given by the environment under `npm run fuzz`.
+ * Seed and number of runs of tests with random histories: fixed in continuous integration, given by
+ * environment variables under `npm run fuzz`.
  */
 
 import process from "node:process";
@@ -10,11 +10,11 @@
 export interface RandomRuns {
   readonly seed: number;
   readonly numRuns: number;
-  /** Whether a failing history is reported as it is, without the search for a shorter one. */
+  /** Whether a failing history is reported without a search for a shorter one. */
   readonly endOnFailure: boolean;
 }
 
-/** The given seed and number of runs, unless `HEMLOCKWALK_SEED` and `HEMLOCKWALK_RUNS` are set. */
+/** Returns the given values unless `HEMLOCKWALK_SEED` and `HEMLOCKWALK_RUNS` are set. */
 export function getRandomRuns(seed: number, numRuns: number): RandomRuns {
   const { HEMLOCKWALK_SEED, HEMLOCKWALK_RUNS, HEMLOCKWALK_SHRINK } = process.env;
   if (HEMLOCKWALK_SEED === undefined || HEMLOCKWALK_RUNS === undefined) {
@@ -27,7 +27,7 @@
   };
   kernel.assert(
     Number.isInteger(runs.seed) && Number.isInteger(runs.numRuns) && runs.numRuns > 0,
-    "HEMLOCKWALK_SEED and HEMLOCKWALK_RUNS are whole numbers.",
+    "HEMLOCKWALK_SEED must be an integer and HEMLOCKWALK_RUNS a positive integer.",
   );
   return runs;
 }
--- a/packages/kernel/test/bounded_output_test.ts
+++ b/packages/kernel/test/bounded_output_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the output that never blocks.
+ * Tests of the non-blocking output.
  */
 
 import * as assert from "node:assert/strict";
@@ -9,21 +9,24 @@
 
 const LINE = `${"x".repeat(1_023)}\n`;
 
-test.test("a reader that stops reading neither blocks nor grows the process", () => {
-  const stuck = new stream.Writable({ write: () => undefined });
-  const output = new kernel.BoundedOutput(stuck);
+test.test("a stalled reader neither blocks the process nor makes its memory grow", () => {
+  const stalledSink = new stream.Writable({ write: () => undefined });
+  const output = new kernel.BoundedOutput(stalledSink);
   for (let line = 0; line < 5_000; line++) {
     output.write(LINE);
   }
-  assert.ok(stuck.writableLength < 600_000, `${stuck.writableLength} bytes wait`);
+  assert.ok(
+    stalledSink.writableLength < 600_000,
+    `${stalledSink.writableLength} bytes are buffered`,
+  );
   assert.ok(output.dropped > 4_000, `${output.dropped} lines dropped`);
 });
 
-test.test("a reader that has gone away ends the log, not the process", () => {
-  const gone = new stream.Writable({
-    write: (_chunk, _encoding, callback) => callback(new Error("gone")),
+test.test("a closed reader ends the log output but not the process", () => {
+  const closedSink = new stream.Writable({
+    write: (_chunk, _encoding, callback) => callback(new Error("closed")),
   });
-  const output = new kernel.BoundedOutput(gone);
+  const output = new kernel.BoundedOutput(closedSink);
   output.write(LINE);
   output.write(LINE);
   assert.ok(output.dropped <= 2);
--- a/packages/kernel/test/clock_test.ts
+++ b/packages/kernel/test/clock_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of timers that wait for input.
+ * Tests of timers that let pending input be handled first.
  */
 
 import * as assert from "node:assert/strict";
@@ -7,14 +7,14 @@
 import * as test from "node:test";
 import * as kernel from "@hemlockwalk/kernel";
 
-function holdUp(milliseconds: number): void {
+function blockEventLoop(milliseconds: number): void {
   const endsAt = performance.now() + milliseconds;
   while (performance.now() < endsAt) {
-    // The process does nothing else meanwhile.
+    // Blocks the event loop.
   }
 }
 
-test.test("what came while the process was held up is handled before the timer", async () => {
+test.test("input that arrives while the event loop is blocked is handled first", async () => {
   const server = net.createServer();
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
@@ -29,16 +29,16 @@
       timer.stop();
       resolve();
     });
-    holdUp(60);
+    blockEventLoop(60);
   });
   await kernel.sleep(40);
-  // A plain timer fires, though the connection stood long before.
+  // The plain timer fires first, although the connection was established long before.
   assert.deepEqual(events, ["plain timer", "connected"]);
   socket.destroy();
   server.close();
 });
 
-test.test("without input the timer fires, and a stopped one does not", async () => {
+test.test("the timer fires without input, and a stopped timer does not fire", async () => {
   let fired = 0;
   kernel.startInputTimer(() => fired++, 10);
   kernel.startInputTimer(() => fired++, 10).stop();
--- a/packages/kernel/test/log_messages_test.ts
+++ b/packages/kernel/test/log_messages_test.ts
@@ -8,17 +8,17 @@
 import * as kernel from "@hemlockwalk/kernel";
 import * as logPage from "../src/log_page.ts";
 
-test.test("the operators' page is the one made from the table", () => {
+test.test("the operators' page matches the table", () => {
   const page = new URL("../../../../docs/operators/log_messages.md", import.meta.url);
   assert.equal(fs.readFileSync(page, "utf8"), logPage.formatLogPage());
 });
 
-test.test("each message has a number of its own", () => {
+test.test("each message has a unique number", () => {
   const codes = Object.values(kernel.LogMessages).map((message) => message.code);
   assert.equal(new Set(codes).size, codes.length);
 });
 
-test.test("a line has the number, the part and the fields of its message", () => {
+test.test("a line has the number, the component and the fields of its message", () => {
   const lines: string[] = [];
   const output = { write: (line: string) => lines.push(line) } as unknown as NodeJS.WritableStream;
   const logger = new kernel.PartLogger(kernel.createOutputLogger("vm-1", "info", output), "mesh");
--- a/packages/kernel/test/loopback_test.ts
+++ b/packages/kernel/test/loopback_test.ts
@@ -10,8 +10,8 @@
 
 const CLAIMS = 40;
 
-/** Claims ports with a copy of the module of its own, which begins its search at the same port. */
-function claimElsewhere(): Promise<number[]> {
+/** Claims ports in a worker, whose own copy of the module starts its search at the same port. */
+function claimInWorker(): Promise<number[]> {
   const source = `
     const { parentPort } = require("node:worker_threads");
     import("@hemlockwalk/kernel/testing").then(async ({ claimPort }) => {
@@ -30,13 +30,13 @@
   });
 }
 
-test.test("a claimed port is claimed by nobody else, and nothing listens there", async () => {
-  const [elsewhere, here] = await Promise.all([
-    claimElsewhere(),
+test.test("a claimed port is not claimed again, and nothing listens on it", async () => {
+  const [workerPorts, ownPorts] = await Promise.all([
+    claimInWorker(),
     Promise.all(Array.from({ length: CLAIMS }, () => kernelTesting.claimPort())),
   ]);
-  assert.equal(new Set([...elsewhere, ...here]).size, 2 * CLAIMS);
-  const [port] = here;
+  assert.equal(new Set([...workerPorts, ...ownPorts]).size, 2 * CLAIMS);
+  const [port] = ownPorts;
   assert.ok(port !== undefined);
   const code = await new Promise((resolve) => {
     const socket = net.connect(port, "127.0.0.1");
