--- a/packages/mesh/src/feed_requests.ts
+++ b/packages/mesh/src/feed_requests.ts
@@ -1,8 +1,9 @@
 /**
- * Asks other VMs for what this one lacks, each thing of one VM at a time.
+ * Requests snapshots of the state that this VM lacks, each from one VM at a time.
  *
- * State may be large: a VM that starts meets several others at once and would be sent everything by
- * each of them, mostly from other data centres. So VMs only compare marks when they meet.
+ * Snapshots may be large. A VM that starts opens links to several VMs at once, mostly in other data
+ * centres, and each of them would send its snapshots. VMs therefore exchange only digests when a
+ * link opens.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -10,33 +11,33 @@
 import * as links from "./link.ts";
 import type * as types from "./types.ts";
 
-/** Another VM is asked after so long without an answer. A megabyte over 10 Mbit/s takes 0.8 s. */
-const ANSWER_MILLISECONDS = 1_200;
+/** Response timeout, after which another VM is asked. A megabyte over 10 Mbit/s takes 0.8 s. */
+const RESPONSE_TIMEOUT_MILLISECONDS = 1_200;
 
-/** A VM of another data centre is asked only when none of this one was met within this time. */
-const NEAR_MILLISECONDS = 40;
+/** Time to wait for a link to a VM of this data centre before one of another is asked. */
+const LOCAL_WAIT_MILLISECONDS = 40;
 
 interface PendingRequest {
   readonly link: links.Link;
   readonly sentAt: number;
 }
 
-/** The requests of one VM. */
-export class FeedRequests {
-  readonly #feeds: ReadonlyMap<string, types.Feed>;
+/** The snapshot requests of one VM. */
+export class SnapshotRequests {
+  readonly #states: ReadonlyMap<string, types.ReplicatedState>;
   readonly #links: ReadonlySet<links.Link>;
   readonly #dataCentre: model.DataCentreId;
   readonly #pending = new Map<string, PendingRequest>();
-  /** When it was first found that something is missing. */
+  /** Time at which this VM's copy of a state was found to be incomplete, by name of the state. */
   readonly #missingSince = new Map<string, number>();
   #timer: NodeJS.Timeout | undefined;
 
   constructor(
-    feeds: ReadonlyMap<string, types.Feed>,
+    states: ReadonlyMap<string, types.ReplicatedState>,
     openLinks: ReadonlySet<links.Link>,
     dataCentre: model.DataCentreId,
   ) {
-    this.#feeds = feeds;
+    this.#states = states;
     this.#links = openLinks;
     this.#dataCentre = dataCentre;
   }
@@ -45,29 +46,29 @@
     return this.#pending.size > 0 || this.#missingSince.size > 0;
   }
 
-  /** Compares the marks of all links and asks for what is missing. */
+  /** Compares the digests received on all links and requests the missing snapshots. */
   advance(): void {
-    for (const [name, { marks }] of this.#feeds) {
-      if (marks !== undefined) {
-        this.#advanceFeed(name, marks);
+    for (const [name, { marks: ownDigest }] of this.#states) {
+      if (ownDigest !== undefined) {
+        this.#advanceState(name, ownDigest);
       }
     }
   }
 
-  /** Notes that everything of a feed has come over a link. */
-  end(link: links.Link, feed: string): void {
-    link.marks.delete(feed);
-    if (this.#pending.get(feed)?.link === link) {
-      this.#pending.delete(feed);
+  /** Records that the snapshot of a state has arrived over a link. */
+  complete(link: links.Link, name: string): void {
+    link.digests.delete(name);
+    if (this.#pending.get(name)?.link === link) {
+      this.#pending.delete(name);
     }
     this.advance();
   }
 
-  /** Forgets a link that has closed; another VM is asked in place of it. */
+  /** Drops a closed link and asks another VM in its place. */
   drop(link: links.Link): void {
-    for (const [feed, pending] of this.#pending) {
+    for (const [name, pending] of this.#pending) {
       if (pending.link === link) {
-        this.#pending.delete(feed);
+        this.#pending.delete(name);
       }
     }
     this.advance();
@@ -77,8 +78,8 @@
     clearTimeout(this.#timer);
   }
 
-  #advanceFeed(name: string, marks: types.FeedMarks): void {
-    const holders = this.#listHolders(name, marks);
+  #advanceState(name: string, ownDigest: types.StateDigest): void {
+    const holders = this.#listHolders(name, ownDigest);
     if (holders.length === 0) {
       this.#missingSince.delete(name);
       this.#pending.delete(name);
@@ -86,37 +87,37 @@
     }
     const now = kernel.getMonotonicMilliseconds();
     const pending = this.#pending.get(name);
-    if (pending !== undefined && now - pending.sentAt < ANSWER_MILLISECONDS) {
+    if (pending !== undefined && now - pending.sentAt < RESPONSE_TIMEOUT_MILLISECONDS) {
       return;
     }
     const untried = holders.filter((link) => link !== pending?.link);
-    const near = untried.find((link) => link.peer?.dataCentre === this.#dataCentre);
+    const local = untried.find((link) => link.peer?.dataCentre === this.#dataCentre);
     const since = this.#missingSince.get(name) ?? now;
     this.#missingSince.set(name, since);
-    const holder = near ?? (now - since >= NEAR_MILLISECONDS ? untried[0] : undefined);
+    const holder = local ?? (now - since >= LOCAL_WAIT_MILLISECONDS ? untried[0] : undefined);
     if (holder === undefined) {
       this.#timer ??= setTimeout(() => {
         this.#timer = undefined;
         this.advance();
-      }, NEAR_MILLISECONDS);
+      }, LOCAL_WAIT_MILLISECONDS);
       return;
     }
     this.#pending.set(name, { link: holder, sentAt: now });
     holder.send(links.encode({ kind: "request", feeds: [name] }));
   }
 
-  /** Links to VMs that hold what is missing here. Marks that say nothing new are done with. */
-  #listHolders(name: string, marks: types.FeedMarks): links.Link[] {
+  /** Returns the links to VMs that hold missing state, and discards digests that show none. */
+  #listHolders(name: string, ownDigest: types.StateDigest): links.Link[] {
     const holders: links.Link[] = [];
     for (const link of this.#links) {
-      const mark = link.marks.get(name);
-      if (mark === undefined) {
+      const digest = link.digests.get(name);
+      if (digest === undefined) {
         continue;
       }
-      if (marks.isBehind(mark)) {
+      if (ownDigest.isBehind(digest)) {
         holders.push(link);
       } else {
-        link.marks.delete(name);
+        link.digests.delete(name);
       }
     }
     return holders;
--- a/packages/mesh/src/link.ts
+++ b/packages/mesh/src/link.ts
@@ -1,5 +1,5 @@
 /**
- * One WebSocket between two VMs, with messages encoded by msgpackr and a watch on its silence.
+ * A WebSocket between two VMs, whose messages are encoded with msgpackr.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -7,10 +7,10 @@
 import type * as ws from "ws";
 import type * as types from "./types.ts";
 
-/** A peer that leaves so many bytes unread has to open a new link, over which it gets everything. */
+/** Queued bytes beyond which a link is closed. The peer then opens a new one and synchronizes. */
 const MAX_QUEUED_BYTES = 1_048_576;
 
-// Records would make a decoder depend on earlier messages.
+// With records, the decoding of a message would depend on earlier messages.
 const packr = new msgpackr.Packr({ useRecords: false });
 
 /** Encodes a message for any number of links. */
@@ -18,7 +18,7 @@
   return packr.pack(message);
 }
 
-/** What happens on a link. */
+/** Receives the events of a link. */
 export interface LinkListener {
   onMessage(link: Link, message: types.LinkMessage): void;
   onClose(link: Link): void;
@@ -28,24 +28,24 @@
 export class Link {
   /** Address that was dialled; undefined for a link that the other VM opened. */
   readonly dialledAddress: string | undefined;
-  /** Whom the link leads to, once the other VM has said so. */
+  /** Identity of the other VM; undefined until its hello has arrived. */
   peer: types.MemberIdentity | undefined;
   role: types.LinkRole = "standby";
-  /** Whether the other VM has been sent everything, so that only updates must follow. */
-  isIntroduced = false;
-  /** Marks of feeds that the other VM has stated and that were not yet compared. */
-  readonly marks = new Map<string, number>();
-  heardAt = kernel.getMonotonicMilliseconds();
+  /** Whether the hello was sent to the other VM, which then needs only updates. */
+  hasSentHello = false;
+  /** Digests of replicated states that the other VM has sent and that were not yet compared. */
+  readonly digests = new Map<string, number>();
+  receivedAt = kernel.getMonotonicMilliseconds();
   sentAt = kernel.getMonotonicMilliseconds();
-  /** Encoded reports that wait to be sent together. */
-  readonly waiting: Uint8Array[] = [];
+  /** Encoded reports that are sent together in the next message. */
+  readonly queuedReports: Uint8Array[] = [];
   readonly #socket: ws.WebSocket;
 
   constructor(socket: ws.WebSocket, listener: LinkListener, dialledAddress?: string) {
     this.#socket = socket;
     this.dialledAddress = dialledAddress;
     socket.on("message", (data: Buffer) => {
-      this.heardAt = kernel.getMonotonicMilliseconds();
+      this.receivedAt = kernel.getMonotonicMilliseconds();
       const message = decode(data);
       if (message === undefined) {
         socket.terminate();
@@ -53,7 +53,7 @@
       }
       listener.onMessage(this, message);
     });
-    // An error is always followed by the close, which says all that matters here.
+    // An error is always followed by the close event, which is handled below.
     socket.on("error", () => socket.terminate());
     socket.once("close", () => listener.onClose(this));
   }
--- a/packages/mesh/src/member_table.ts
+++ b/packages/mesh/src/member_table.ts
@@ -1,21 +1,21 @@
 /**
- * The members that a VM has heard of, directly or through others.
+ * The members that a VM tracks, which it learns of directly or through other VMs.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 import type * as model from "@hemlockwalk/model";
 import type * as types from "./types.ts";
 
-/** A member that was not heard for this many of its reporting intervals is taken as gone. */
-const MISSED_INTERVALS = 3.5;
+/** Number of report intervals without a report after which a member is removed. */
+const MAX_MISSED_INTERVALS = 3.5;
 
-/** A member that could not be reached is passed over for so long. */
+/** Time for which an unreachable member is left out of the ranking. */
 const UNREACHABLE_MILLISECONDS = 2_000;
 
 interface Member {
   readonly identity: types.MemberIdentity;
   sequence: number;
-  heardAt: number;
+  lastReceivedAt: number;
   unreachableUntil: number;
 }
 
@@ -23,9 +23,9 @@
 export class MemberTable {
   readonly #self: types.MemberIdentity;
   readonly #members = new Map<model.VmId, Member>();
-  readonly #byTag = new Map<number, Member>();
-  /** Lives that have ended, so that late reports do not bring them back. */
-  readonly #ended = new Map<model.VmId, model.Incarnation>();
+  readonly #membersByTag = new Map<number, Member>();
+  /** Incarnations that have ended, so that late reports do not add them again. */
+  readonly #endedIncarnations = new Map<model.VmId, model.Incarnation>();
 
   constructor(self: types.MemberIdentity) {
     this.#self = self;
@@ -36,8 +36,8 @@
     return this.#members.size + 1;
   }
 
-  /** Learns of a member from another's list; returns whether it was new. */
-  introduce(identity: types.MemberIdentity): boolean {
+  /** Adds a member that another VM has reported; returns whether it was new. */
+  addMember(identity: types.MemberIdentity): boolean {
     const known = this.#members.get(identity.vm);
     if (known !== undefined && known.identity.incarnation >= identity.incarnation) {
       return false;
@@ -45,20 +45,20 @@
     return this.#add(identity);
   }
 
-  /** Takes a report's sequence number; returns whose report it is if it is new. */
-  hear(tag: number, sequence: number): types.MemberIdentity | undefined {
-    const known = this.#byTag.get(tag);
+  /** Records the sequence number of a report; returns its origin if the report is new. */
+  recordReport(tag: number, sequence: number): types.MemberIdentity | undefined {
+    const known = this.#membersByTag.get(tag);
     if (known === undefined || known.sequence >= sequence) {
       return undefined;
     }
     known.sequence = sequence;
-    known.heardAt = kernel.getMonotonicMilliseconds();
+    known.lastReceivedAt = kernel.getMonotonicMilliseconds();
     return known.identity;
   }
 
-  /** Removes a member that said that it leaves. */
-  end(identity: types.MemberIdentity): void {
-    this.#ended.set(identity.vm, identity.incarnation);
+  /** Removes a member that has announced that it leaves. */
+  endIncarnation(identity: types.MemberIdentity): void {
+    this.#endedIncarnations.set(identity.vm, identity.incarnation);
     this.#remove(identity.vm);
   }
 
@@ -69,12 +69,12 @@
     }
   }
 
-  /** Removes members that were not heard for too long. */
+  /** Removes members without a recent report. */
   expire(reportIntervalMilliseconds: number): void {
     const oldest = kernel.getMonotonicMilliseconds() -
-      reportIntervalMilliseconds * MISSED_INTERVALS;
+      reportIntervalMilliseconds * MAX_MISSED_INTERVALS;
     for (const [vm, member] of this.#members) {
-      if (member.heardAt < oldest) {
+      if (member.lastReceivedAt < oldest) {
         this.#remove(vm);
       }
     }
@@ -85,9 +85,9 @@
   }
 
   /**
-   * Members of a data centre, those of the largest capacity first and among them those that have
-   * lived longest, which every VM ranks alike and which restarts change least. This VM takes its own
-   * place; unreachable ones are left out.
+   * Ranks the members of a data centre, this VM included, by capacity and then by age, with the
+   * largest and oldest first. All VMs compute the same order, and restarts change it least.
+   * Unreachable members are left out.
    */
   rank(dataCentre: model.DataCentreId): types.MemberIdentity[] {
     const now = kernel.getMonotonicMilliseconds();
@@ -112,12 +112,12 @@
     const member = this.#members.get(vm);
     if (member !== undefined) {
       this.#members.delete(vm);
-      this.#byTag.delete(member.identity.tag);
+      this.#membersByTag.delete(member.identity.tag);
     }
   }
 
   #add(identity: types.MemberIdentity): boolean {
-    const ended = this.#ended.get(identity.vm);
+    const ended = this.#endedIncarnations.get(identity.vm);
     const hasEnded = ended !== undefined && ended >= identity.incarnation;
     if (identity.vm === this.#self.vm || hasEnded) {
       return false;
@@ -126,11 +126,11 @@
     const member = {
       identity,
       sequence: 0,
-      heardAt: kernel.getMonotonicMilliseconds(),
+      lastReceivedAt: kernel.getMonotonicMilliseconds(),
       unreachableUntil: 0,
     };
     this.#members.set(identity.vm, member);
-    this.#byTag.set(identity.tag, member);
+    this.#membersByTag.set(identity.tag, member);
     return true;
   }
 }
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -1,11 +1,12 @@
 /**
- * The mesh: what each VM knows reaches all others within a few ticks, with few links.
+ * The mesh, which distributes the reports and updates of each VM to all others within a few ticks,
+ * over few links.
  *
- * In each data centre the VM with the largest capacity relays, the oldest among equals: all others
- * of the data centre subscribe to it, and the relays of the data centres are bridged. Nobody is
- * elected: each VM ranks the members that it knows and follows the first that it reaches. A VM that
- * others subscribe to relays, whatever it thinks of its own rank. Reports carry absolute values and
- * sequence numbers, so that loss, repetition and loops do no harm.
+ * In each data centre, the VM with the largest capacity relays, the oldest among equals. All other
+ * VMs of the data centre subscribe to it, and bridges link the relays of the data centres. There is
+ * no election: each VM ranks the members that it tracks and subscribes to the first one that it can
+ * reach. A VM with subscribers relays regardless of its own rank. Reports carry absolute values and
+ * sequence numbers, so loss, repetition and loops are harmless.
  */
 
 import * as http from "node:http";
@@ -17,118 +18,118 @@
 import * as packed from "./packed_report.ts";
 import type * as types from "./types.ts";
 
-/** Interval in which links are looked after and changes are sent at most. */
+/** Interval of link maintenance, and shortest interval between reports that are not urgent. */
 const TICK_MILLISECONDS = 100;
 
 /**
- * Interval in which changes that are not urgent are gathered, for each VM of the fleet, so that all
- * reports together do not grow with the fleet: two thirds of one for each millisecond.
+ * Interval between reports of changes that are not urgent, per VM of the fleet. It bounds the rate
+ * of all reports together to two in three milliseconds, whatever the size of the fleet.
  */
-const NEWS_INTERVAL_PER_MEMBER_MILLISECONDS = 1.5;
+const UPDATE_INTERVAL_PER_MEMBER_MILLISECONDS = 1.5;
 
-/** News pass two relays and wait for a tick at each, besides the interval of their VM. */
-const NEWS_TICKS = 2;
+/** Ticks that an update waits for at the two relays on its path, besides the interval of its VM. */
+const RELAY_TICKS = 2;
 
-/** Delay of a report that others should have at once, so that several of them travel together. */
+/** Delay of an urgent report, so that several changes are sent together. */
 const URGENT_DELAY_MILLISECONDS = 10;
 
-/** Delay with which a relay passes reports on, so that those of several VMs travel together. */
+/** Delay before a relay forwards reports, so that those of several VMs are sent together. */
 const RELAY_DELAY_MILLISECONDS = 50;
 
 /**
- * Delay with which a relay passes urgent reports on, for each VM of the fleet. Targets that fail are
- * reported more often the more VMs there are; without it the relay's messages would grow by the
- * square of the fleet.
+ * Delay before a relay forwards urgent reports, per VM of the fleet. Reports of failing targets are
+ * more frequent the more VMs there are; without the delay, the number of messages from a relay
+ * would grow with the square of the fleet size.
  */
 const URGENT_RELAY_PER_MEMBER_MILLISECONDS = 0.3;
 
-/** Name of the feed that tells of members that have just come. */
-const MEMBER_FEED = "members";
+/** Name of the replicated state that announces new members. */
+const MEMBERS_STATE = "members";
 
-/** A VM without news reports so often that it lives; grows with the fleet to bound the traffic. */
+/** Interval of reports that only show that a VM runs; grows with the fleet to bound the traffic. */
 const MIN_REPORT_INTERVAL_MILLISECONDS = 1_000;
 const REPORT_INTERVAL_PER_MEMBER_MILLISECONDS = 10;
 
-/** How often a report says whose it is, for VMs that have lost sight of this one. */
-const INTRODUCTION_INTERVAL_MILLISECONDS = 1_000;
+/** Interval of reports with the identity of this VM, for VMs that have stopped tracking it. */
+const IDENTITY_INTERVAL_MILLISECONDS = 1_000;
 
-/** A link on which nothing was sent for so long carries an empty message. */
+/** Time without a sent message after which an empty message is sent on a link. */
 const LINK_KEEPALIVE_MILLISECONDS = 400;
 
-/** A link that was silent for so long is dead. Three keepalives and the delay of a busy VM. */
-const LINK_SILENCE_MILLISECONDS = 1_500;
+/** Time without a message after which a link is closed: three keepalives and a busy VM's delay. */
+const LINK_TIMEOUT_MILLISECONDS = 1_500;
 
 const DIAL_TIMEOUT_MILLISECONDS = 700;
 
-/** Relays of its own data centre that a VM keeps links to. */
+/** Number of highest-ranked VMs of its own data centre to which a VM keeps links. */
 const RELAYS_PER_DATA_CENTRE = 2;
 
-/** How often seeds are dialled that no link leads to. */
+/** Interval at which seeds are dialled that are not tracked as members. */
 const SEED_INTERVAL_MILLISECONDS = 1_000;
 
 /** Settings of a mesh. */
 export interface MeshOptions {
   readonly self: types.MemberIdentity;
-  /** Addresses of some VMs. They may be stale; read anew each time. */
+  /** Returns addresses of some VMs, which may be out of date. Called for each round of dials. */
   readonly listSeeds: () => readonly string[];
   readonly logger: kernel.PartLogger;
 }
 
-/** Links of this VM and what travels over them. */
+/** The links of this VM and the messages that are sent over them. */
 export class Mesh implements kernel.Service, links.LinkListener {
   readonly self: types.MemberIdentity;
   readonly #options: MeshOptions;
   readonly #table: members.MemberTable;
   readonly #sections = new Map<string, types.ReportSection>();
-  readonly #feeds = new Map<string, types.Feed>();
+  readonly #states = new Map<string, types.ReplicatedState>();
   readonly #links = new Set<links.Link>();
-  readonly #requests: requests.FeedRequests;
+  readonly #requests: requests.SnapshotRequests;
   #server: http.Server | undefined;
   #webSockets: ws.WebSocketServer | undefined;
   #tickTimer: NodeJS.Timeout | undefined;
   #urgentTimer: NodeJS.Timeout | undefined;
   #relayTimer: NodeJS.Timeout | undefined;
   #urgentRelayTimer: NodeJS.Timeout | undefined;
-  #careImmediate: NodeJS.Immediate | undefined;
+  #maintenanceImmediate: NodeJS.Immediate | undefined;
   #sequence = 0;
   #reportedAt = Number.NEGATIVE_INFINITY;
-  #introducedAt = Number.NEGATIVE_INFINITY;
+  #identitySentAt = Number.NEGATIVE_INFINITY;
   #seedsDialledAt = Number.NEGATIVE_INFINITY;
-  #confirmedAt = Number.NEGATIVE_INFINITY;
+  #lastStoreResponseAt = Number.NEGATIVE_INFINITY;
   #isLeaving = false;
 
   constructor(options: MeshOptions) {
     this.#options = options;
     this.self = options.self;
     this.#table = new members.MemberTable(options.self);
-    this.#requests = new requests.FeedRequests(this.#feeds, this.#links, this.self.dataCentre);
-    this.addFeed(MEMBER_FEED, {
+    this.#requests = new requests.SnapshotRequests(this.#states, this.#links, this.self.dataCentre);
+    this.addFeed(MEMBERS_STATE, {
       createSnapshot: () => [],
       receive: (payload) => {
-        const introduced = (payload as types.MemberIdentity[]).map((member) =>
-          this.#table.introduce(member)
+        const added = (payload as types.MemberIdentity[]).map((member) =>
+          this.#table.addMember(member)
         );
-        return introduced.includes(true);
+        return added.includes(true);
       },
     });
   }
 
-  /** Number of VMs known to be alive, this one included. */
+  /** Number of tracked members, this VM included. */
   get size(): number {
     return this.#table.size;
   }
 
-  /** Monotonic time of the latest answer of the store to any VM, as far as known here. */
+  /** Monotonic time of the latest response of the store to any VM, as far as known here. */
   get confirmedAt(): number {
-    return this.#confirmedAt;
+    return this.#lastStoreResponseAt;
   }
 
-  /** Whether any other VM is linked at present. */
+  /** Whether there is an open link to another VM. */
   get isLinked(): boolean {
     return [...this.#links].some((link) => link.isOpen && link.peer !== undefined);
   }
 
-  /** Whether another VM was asked for something that has not come yet. */
+  /** Whether this VM lacks a snapshot that another VM holds. */
   get isAwaitingFeeds(): boolean {
     return this.#requests.isPending;
   }
@@ -138,7 +139,7 @@
     return this.#table.rank(this.self.dataCentre);
   }
 
-  /** The first VM of each data centre, in an order that all VMs share. */
+  /** The first VM of each data centre, in an order that is the same on all VMs. */
   rankRelays(): types.MemberIdentity[] {
     return this.#table.listDataCentres().flatMap((dataCentre) =>
       this.#table.rank(dataCentre).slice(0, 1)
@@ -149,26 +150,26 @@
     this.#sections.set(name, section);
   }
 
-  addFeed(name: string, feed: types.Feed): void {
-    this.#feeds.set(name, feed);
+  addFeed(name: string, state: types.ReplicatedState): void {
+    this.#states.set(name, state);
   }
 
-  /** Notes that the store has answered this VM now. */
+  /** Records that the store has just responded to this VM. */
   confirm(): void {
-    this.#confirmedAt = kernel.getMonotonicMilliseconds();
+    this.#lastStoreResponseAt = kernel.getMonotonicMilliseconds();
   }
 
-  /** Sends an update of a feed to all VMs. */
-  publish(feed: string, payload: unknown): void {
-    this.#forward({ kind: "feed", feed, payload }, undefined);
+  /** Sends an update of a replicated state to all VMs. */
+  publish(state: string, payload: unknown): void {
+    this.#forward({ kind: "feed", feed: state, payload }, undefined);
   }
 
-  /** Time within which others hear of a change that is not urgent, in milliseconds. */
+  /** Time within which a change that is not urgent reaches all VMs, in milliseconds. */
   get newsMilliseconds(): number {
-    return this.#getNewsInterval() + NEWS_TICKS * TICK_MILLISECONDS;
+    return this.#getUpdateInterval() + RELAY_TICKS * TICK_MILLISECONDS;
   }
 
-  /** Has the next report sent at once. */
+  /** Sends the next report as an urgent one, without waiting for the tick. */
   hurry(): void {
     this.#urgentTimer ??= setTimeout(() => {
       this.#urgentTimer = undefined;
@@ -177,7 +178,7 @@
     }, URGENT_DELAY_MILLISECONDS);
   }
 
-  /** VMs that are believed to be alive, without this one. */
+  /** Tracked members without this VM. */
   listOthers(): types.MemberIdentity[] {
     return this.#table.list();
   }
@@ -195,7 +196,7 @@
     this.#tick();
   }
 
-  /** Tells all VMs that this one leaves. */
+  /** Announces to all VMs that this one leaves. */
   drain(): void {
     this.#isLeaving = true;
     this.#reportedAt = Number.NEGATIVE_INFINITY;
@@ -205,7 +206,7 @@
 
   stop(): void {
     clearInterval(this.#tickTimer);
-    clearImmediate(this.#careImmediate);
+    clearImmediate(this.#maintenanceImmediate);
     this.#requests.stop();
     clearTimeout(this.#urgentTimer);
     clearTimeout(this.#relayTimer);
@@ -222,18 +223,18 @@
     switch (message.kind) {
       case "hello":
         link.peer = message.identity;
-        this.#receiveFeed({
+        this.#receiveState({
           kind: "feed",
-          feed: MEMBER_FEED,
+          feed: MEMBERS_STATE,
           payload: [message.identity, ...message.members],
         }, link);
         for (const [name, payload] of Object.entries(message.feeds)) {
-          this.#receiveFeed({ kind: "feed", feed: name, payload }, link);
+          this.#receiveState({ kind: "feed", feed: name, payload }, link);
         }
         if (link.dialledAddress === undefined) {
-          this.#introduce(link);
+          this.#sendHello(link);
         }
-        this.#compareMarks(message.marks, link);
+        this.#receiveDigests(message.marks, link);
         this.#maintainLinks();
         return;
       case "role":
@@ -243,15 +244,15 @@
         this.#receiveReports(message, link);
         return;
       case "marks":
-        this.#compareMarks(message.marks, link);
+        this.#receiveDigests(message.marks, link);
         return;
       case "request":
-        this.#sendWhole(message.feeds, link);
+        this.#sendSnapshots(message.feeds, link);
         return;
       case "feed":
-        this.#receiveFeed(message, link);
+        this.#receiveState(message, link);
         if (message.isWhole === true) {
-          this.#requests.end(link, message.feed);
+          this.#requests.complete(link, message.feed);
         }
         return;
     }
@@ -278,36 +279,37 @@
   }
 
   #tick(): void {
-    // Half a tick, since a tick may come a little early against the last one.
-    const dueAt = this.#reportedAt + this.#getNewsInterval() - TICK_MILLISECONDS / 2;
+    // Half a tick early, since the timer may fire slightly early.
+    const dueAt = this.#reportedAt + this.#getUpdateInterval() - TICK_MILLISECONDS / 2;
     if (kernel.getMonotonicMilliseconds() >= dueAt) {
       this.#report(false);
     }
     this.#flush();
-    // After the input that came while the process was held up, so that nobody is missed who spoke.
-    this.#careImmediate = setImmediate(() => {
-      this.#closeSilentLinks();
+    // Runs after input that arrived while the event loop was blocked has been handled, so that no
+    // link or member expires whose messages have already arrived.
+    this.#maintenanceImmediate = setImmediate(() => {
+      this.#closeInactiveLinks();
       this.#requests.advance();
       this.#table.expire(this.#getReportInterval());
       this.#maintainLinks();
     });
   }
 
-  #getNewsInterval(): number {
-    const byFleet = this.#table.size * NEWS_INTERVAL_PER_MEMBER_MILLISECONDS;
+  #getUpdateInterval(): number {
+    const byFleet = this.#table.size * UPDATE_INTERVAL_PER_MEMBER_MILLISECONDS;
     return Math.max(TICK_MILLISECONDS, byFleet);
   }
 
-  /** Passes reports on within the data centre. Bridges wait for the tick: their bytes cost. */
-  #relaySoon(): void {
+  /** Forwards reports within the data centre. Bridges wait for the tick to limit their traffic. */
+  #scheduleRelay(): void {
     this.#relayTimer ??= setTimeout(() => {
       this.#relayTimer = undefined;
       this.#flush((link) => link.role !== "bridge");
     }, RELAY_DELAY_MILLISECONDS);
   }
 
-  /** Passes urgent reports on everywhere, with what else came within the delay. */
-  #relayUrgently(): void {
+  /** Forwards urgent reports on all links, with all others that arrive within the delay. */
+  #scheduleUrgentRelay(): void {
     this.#urgentRelayTimer ??= setTimeout(
       () => {
         this.#urgentRelayTimer = undefined;
@@ -327,25 +329,25 @@
     );
   }
 
-  /** Queues this VM's own report when it has news or when one is due. */
+  /** Queues a report of this VM if there are changes or if one is due. */
   #report(isUrgent: boolean): void {
     const sections: Record<string, unknown> = {};
-    let hasNews = false;
+    let hasChanges = false;
     for (const [name, section] of this.#sections) {
       const payload = section.collect();
       if (payload !== undefined) {
         sections[name] = payload;
-        hasNews = true;
+        hasChanges = true;
       }
     }
     const now = kernel.getMonotonicMilliseconds();
-    if (!hasNews && now - this.#reportedAt < this.#getReportInterval()) {
+    if (!hasChanges && now - this.#reportedAt < this.#getReportInterval()) {
       return;
     }
     this.#reportedAt = now;
-    const isIntroduction = now - this.#introducedAt >= INTRODUCTION_INTERVAL_MILLISECONDS;
-    if (isIntroduction) {
-      this.#introducedAt = now;
+    const includesIdentity = now - this.#identitySentAt >= IDENTITY_INTERVAL_MILLISECONDS;
+    if (includesIdentity) {
+      this.#identitySentAt = now;
     }
     const report: types.Report = {
       tag: this.self.tag,
@@ -353,16 +355,16 @@
       isLeaving: this.#isLeaving,
       isUrgent,
       sections,
-      origin: isIntroduction ? this.self : undefined,
+      origin: includesIdentity ? this.self : undefined,
     };
     this.#queue(packed.encodeReport(report), undefined);
   }
 
-  /** Queues a report for each neighbour that has not sent it itself. */
+  /** Queues a report on the links to which it is forwarded. */
   #queue(report: Uint8Array, from: links.Link | undefined): void {
     for (const link of this.#links) {
-      if (link !== from && link.peer !== undefined && this.#passesOn(from, link)) {
-        link.waiting.push(report);
+      if (link !== from && link.peer !== undefined && this.#shouldForward(from, link)) {
+        link.queuedReports.push(report);
       }
     }
   }
@@ -373,23 +375,28 @@
       if (!link.isOpen || link.peer === undefined || !isFlushed(link)) {
         continue;
       }
-      const reports = link.waiting.splice(0);
+      const reports = link.queuedReports.splice(0);
       if (reports.length > 0 || now - link.sentAt >= LINK_KEEPALIVE_MILLISECONDS) {
         link.send(links.encode({
           kind: "reports",
           reports,
-          confirmedAge: this.#getAge(now),
+          confirmedAge: this.#getStoreResponseAge(now),
         }));
       }
     }
   }
 
-  #getAge(now: number): number | undefined {
-    return this.#confirmedAt === Number.NEGATIVE_INFINITY ? undefined : now - this.#confirmedAt;
+  #getStoreResponseAge(now: number): number | undefined {
+    return this.#lastStoreResponseAt === Number.NEGATIVE_INFINITY
+      ? undefined
+      : now - this.#lastStoreResponseAt;
   }
 
-  /** Whether what came over one link goes out over another. Own news go to all but standbys. */
-  #passesOn(from: links.Link | undefined, to: links.Link): boolean {
+  /**
+   * Whether a report from one link, or from this VM if there is none, is sent on another: not on
+   * standbys, and not from bridge to bridge.
+   */
+  #shouldForward(from: links.Link | undefined, to: links.Link): boolean {
     if (to.role === "standby") {
       return false;
     }
@@ -402,7 +409,7 @@
   ): void {
     if (typeof message.confirmedAge === "number") {
       const confirmedAt = kernel.getMonotonicMilliseconds() - message.confirmedAge;
-      this.#confirmedAt = Math.max(this.#confirmedAt, confirmedAt);
+      this.#lastStoreResponseAt = Math.max(this.#lastStoreResponseAt, confirmedAt);
     }
     let isUrgent = false;
     for (const encoded of message.reports) {
@@ -418,17 +425,17 @@
       isUrgent ||= report.value.isUrgent;
     }
     if (isUrgent) {
-      this.#relayUrgently();
+      this.#scheduleUrgentRelay();
     } else if (message.reports.length > 0) {
-      this.#relaySoon();
+      this.#scheduleRelay();
     }
   }
 
   #receiveReport(report: types.Report, encoded: Uint8Array, link: links.Link): void {
     if (report.origin !== undefined) {
-      this.#table.introduce(report.origin);
+      this.#table.addMember(report.origin);
     }
-    const origin = this.#table.hear(report.tag, report.sequence);
+    const origin = this.#table.recordReport(report.tag, report.sequence);
     if (origin === undefined) {
       return;
     }
@@ -436,28 +443,28 @@
       this.#sections.get(name)?.receive(origin, payload);
     }
     if (report.isLeaving) {
-      this.#table.end(origin);
+      this.#table.endIncarnation(origin);
     }
     this.#queue(encoded, link);
   }
 
-  #receiveFeed(message: Extract<types.LinkMessage, { kind: "feed" }>, link: links.Link): void {
-    const feed = this.#feeds.get(message.feed);
-    const isNew = feed?.receive(message.payload) ?? false;
+  #receiveState(message: Extract<types.LinkMessage, { kind: "feed" }>, link: links.Link): void {
+    const state = this.#states.get(message.feed);
+    const isNew = state?.receive(message.payload) ?? false;
     if (!isNew) {
       return;
     }
-    if (message.isWhole === true && feed?.marks !== undefined) {
-      // Most others hold it already, so they are not sent all of it.
-      this.#forward({ kind: "marks", marks: { [message.feed]: feed.marks.get() } }, link);
+    if (message.isWhole === true && state?.marks !== undefined) {
+      // Most other VMs already hold this state, so they are sent only its digest.
+      this.#forward({ kind: "marks", marks: { [message.feed]: state.marks.get() } }, link);
     } else {
       this.#forward(message, link);
     }
   }
 
-  #compareMarks(marks: Readonly<Record<string, number>>, link: links.Link): void {
-    for (const [name, mark] of Object.entries(marks)) {
-      link.marks.set(name, mark);
+  #receiveDigests(digests: Readonly<Record<string, number>>, link: links.Link): void {
+    for (const [name, digest] of Object.entries(digests)) {
+      link.digests.set(name, digest);
     }
     this.#requests.advance();
   }
@@ -465,55 +472,55 @@
   #forward(message: types.LinkMessage, from: links.Link | undefined): void {
     const encoded = links.encode(message);
     for (const link of this.#links) {
-      // Updates are rare and matter at once, so they also go over standbys. A VM whose own hello is
-      // still on its way must not miss what came after the hello that it was sent.
-      if (link !== from && link.isIntroduced) {
+      // Updates are rare and urgent, so they are also sent over standbys. They are sent even before
+      // the hello of the other VM has arrived, since the hello sent to it does not contain them.
+      if (link !== from && link.hasSentHello) {
         link.send(encoded);
       }
     }
   }
 
-  #sendWhole(feeds: readonly string[], link: links.Link): void {
-    for (const name of feeds) {
-      const feed = this.#feeds.get(name);
-      if (feed !== undefined) {
-        const payload = feed.createSnapshot();
+  #sendSnapshots(names: readonly string[], link: links.Link): void {
+    for (const name of names) {
+      const state = this.#states.get(name);
+      if (state !== undefined) {
+        const payload = state.createSnapshot();
         link.send(links.encode({ kind: "feed", feed: name, payload, isWhole: true }));
       }
     }
   }
 
-  /** Sends what this VM knows, or by what marks it can be compared. */
-  #introduce(link: links.Link): void {
-    const feeds: Record<string, unknown> = {};
-    const marks: Record<string, number> = {};
-    for (const [name, feed] of this.#feeds) {
-      if (feed.marks === undefined) {
-        feeds[name] = feed.createSnapshot();
+  /** Sends the members and, for each replicated state, its digest or else its snapshot. */
+  #sendHello(link: links.Link): void {
+    const snapshots: Record<string, unknown> = {};
+    const digests: Record<string, number> = {};
+    for (const [name, state] of this.#states) {
+      if (state.marks === undefined) {
+        snapshots[name] = state.createSnapshot();
       } else {
-        marks[name] = feed.marks.get();
+        digests[name] = state.marks.get();
       }
     }
-    link.isIntroduced = true;
+    link.hasSentHello = true;
     link.send(links.encode({
       kind: "hello",
       identity: this.self,
       members: this.#table.list(),
-      feeds,
-      marks,
+      feeds: snapshots,
+      marks: digests,
     }));
   }
 
-  #closeSilentLinks(): void {
-    const oldest = kernel.getMonotonicMilliseconds() - LINK_SILENCE_MILLISECONDS;
+  #closeInactiveLinks(): void {
+    const oldest = kernel.getMonotonicMilliseconds() - LINK_TIMEOUT_MILLISECONDS;
     for (const link of this.#links) {
-      if (link.heardAt < oldest) {
+      if (link.receivedAt < oldest) {
         link.close();
       }
     }
   }
 
-  /** Dials the relays that this VM should follow and lets go of links that nobody needs. */
+  /** Dials the relays to which this VM should be linked and closes links that are not needed. */
   #maintainLinks(): void {
     const wanted = this.#chooseRoles();
     for (const link of this.#links) {
@@ -548,7 +555,7 @@
     if (ownRank === 0) {
       for (const dataCentre of this.#table.listDataCentres()) {
         const relay = this.#table.rank(dataCentre)[0];
-        // One of the two dials, or both would.
+        // Only one of the two relays dials, so that they do not open two bridges.
         if (relay !== undefined && relay.vm > this.self.vm) {
           roles.set(relay.address, "bridge");
         }
@@ -581,7 +588,7 @@
       handshakeTimeout: DIAL_TIMEOUT_MILLISECONDS,
     });
     const link = new links.Link(socket, this, address);
-    socket.once("open", () => this.#introduce(link));
+    socket.once("open", () => this.#sendHello(link));
     this.#addLink(link);
   }
 
--- a/packages/mesh/src/mod.ts
+++ b/packages/mesh/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * How VMs find each other from a few seeds and tell each other what they know.
+ * Discovery of VMs through a few seeds, and distribution of reports and replicated state.
  */
 
 export * from "./feed_requests.ts";
--- a/packages/mesh/src/packed_report.ts
+++ b/packages/mesh/src/packed_report.ts
@@ -1,5 +1,5 @@
 /**
- * Reports in the form in which they travel. Each is encoded once, by its VM.
+ * Encoding of reports. Each report is encoded once, by the VM that sends it first.
  */
 
 import * as msgpackr from "msgpackr";
@@ -21,7 +21,7 @@
   return packr.pack(packed);
 }
 
-/** The error says what is wrong with the bytes. */
+/** @returns The report, or a description of what is wrong with the bytes. */
 export function decodeReport(encoded: Uint8Array): neverthrow.Result<types.Report, string> {
   let packed: types.PackedReport;
   try {
@@ -30,7 +30,7 @@
     return neverthrow.err(String(error));
   }
   if (!Array.isArray(packed) || typeof packed[3] !== "object" || packed[3] === null) {
-    return neverthrow.err("It is no report.");
+    return neverthrow.err("The message is not a report.");
   }
   const [tag, sequence, flags, sections, origin] = packed;
   return neverthrow.ok({
--- a/packages/mesh/src/types.ts
+++ b/packages/mesh/src/types.ts
@@ -1,38 +1,38 @@
 /**
- * Types of the mesh: members, links and what travels over them.
+ * Types of the mesh: members, links and the messages on them.
  */
 
 import type * as model from "@hemlockwalk/model";
 
-/** One life of one VM. */
+/** One incarnation of a VM. */
 export interface MemberIdentity {
   readonly vm: model.VmId;
   readonly incarnation: model.Incarnation;
   readonly dataCentre: model.DataCentreId;
-  /** IP number and port of its listener for other VMs. */
+  /** IP address and port of its listener for other VMs. */
   readonly address: string;
-  /** Short random number that stands for this life in reports. */
+  /** Short random number that identifies the incarnation in reports. */
   readonly tag: number;
-  /** What it can carry for others, in tenths of a core; VMs with more of it relay first. */
+  /** Capacity to relay, in tenths of a CPU core. VMs with a larger capacity relay first. */
   readonly capacity: number;
 }
 
-/** What one VM tells all others. */
+/** A report that one VM sends to all others. */
 export interface Report {
-  /** Tag of the VM's life. */
+  /** Tag of the VM's incarnation. */
   readonly tag: number;
-  /** Rises with each report of one incarnation. */
+  /** Increases with each report of an incarnation. */
   readonly sequence: number;
   readonly isLeaving: boolean;
-  /** Whether relays should pass it on without waiting for others. */
+  /** Whether relays forward it on all links without waiting for the next tick. */
   readonly isUrgent: boolean;
   /** Payloads by the name of the section. */
   readonly sections: Readonly<Record<string, unknown>>;
-  /** Now and then, for those who have not heard of the VM. */
+  /** Identity of the VM, which is sent at intervals for VMs that do not track it. */
   readonly origin: MemberIdentity | undefined;
 }
 
-/** A report as it travels: its fields in order, without their names. */
+/** A report as it is sent: its fields in order, without their names. */
 export type PackedReport = readonly [
   tag: number,
   sequence: number,
@@ -41,29 +41,29 @@
   origin?: MemberIdentity | undefined,
 ];
 
-/** A part of the reports: this VM's share of it is collected, those of others are received. */
+/** A section of the reports, collected on this VM and received from others. */
 export interface ReportSection {
-  /** What has changed since the last collection; undefined when nothing has. */
+  /** Returns the changes since the last collection; undefined when there are none. */
   collect(): unknown;
-  /** Takes a payload of another VM. Its shape is not to be trusted. */
+  /** Applies a payload of another VM. Its shape has not been checked. */
   receive(from: MemberIdentity, payload: unknown): void;
 }
 
-/** Stands for the state of a feed, so that two VMs can tell whether they hold the same. */
-export interface FeedMarks {
-  /** 0 while nothing is held. */
+/** Digest of a replicated state, by which two VMs detect that their copies differ. */
+export interface StateDigest {
+  /** Returns the digest of this VM's copy; 0 while the copy is empty. */
   get(): number;
-  /** Whether a VM with another mark holds something that this one does not. */
+  /** Whether a copy with the given digest holds something that this VM's copy lacks. */
   isBehind(other: number): boolean;
 }
 
-/** State that all VMs hold alike and that any of them may bring up to date. */
-export interface Feed {
-  /** With marks, everything is sent only to a VM that asks; without, to each VM that is met. */
-  readonly marks?: FeedMarks;
-  /** Everything that a VM without knowledge needs. */
+/** State that is replicated to all VMs and that any VM may update. */
+export interface ReplicatedState {
+  /** With a digest, snapshots are sent only on request; without one, on each new link. */
+  readonly marks?: StateDigest;
+  /** Returns the complete state, for a VM that has none of it. */
   createSnapshot(): unknown;
-  /** Takes an update; returns whether any of it was new, so that it is passed on. */
+  /** Applies an update or a snapshot; returns whether any of it was new and is to be forwarded. */
   receive(payload: unknown): boolean;
 }
 
@@ -73,30 +73,30 @@
     readonly kind: "hello";
     readonly identity: MemberIdentity;
     readonly members: readonly MemberIdentity[];
-    /** Everything of the feeds without marks. */
+    /** Snapshots of the replicated states without a digest. */
     readonly feeds: Readonly<Record<string, unknown>>;
-    /** Marks of the other feeds. */
+    /** Digests of the other replicated states. */
     readonly marks: Readonly<Record<string, number>>;
   }
-  /** Says that the state of feeds has changed by something large; whoever lacks it may ask. */
+  /** Announces a large change of replicated states. A VM that lacks it requests a snapshot. */
   | { readonly kind: "marks"; readonly marks: Readonly<Record<string, number>> }
-  /** Asks for everything of some feeds. */
+  /** Requests snapshots of replicated states. */
   | { readonly kind: "request"; readonly feeds: readonly string[] }
   | { readonly kind: "role"; readonly role: LinkRole }
   | {
     readonly kind: "reports";
-    /** Reports as their VMs have encoded them; relays pass the bytes on. */
+    /** Reports as encoded by their VMs; relays forward the bytes. */
     readonly reports: readonly Uint8Array[];
-    /** Age of the store's latest answer to any VM, in milliseconds; undefined without one. */
+    /** Age of the store's latest response to any VM, in milliseconds; undefined without one. */
     readonly confirmedAge: number | undefined;
   }
   | {
     readonly kind: "feed";
     readonly feed: string;
     readonly payload: unknown;
-    /** Whether it is everything, as was asked for, and not an update. */
+    /** Whether the payload is a requested snapshot and not an update. */
     readonly isWhole?: boolean;
   };
 
-/** What the dialling VM uses a link for. */
+/** Purpose for which the dialling VM uses a link. */
 export type LinkRole = "standby" | "subscription" | "bridge";
--- a/packages/mesh/test/feed_requests_test.ts
+++ b/packages/mesh/test/feed_requests_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of whom a VM asks for what it lacks, on a paused clock.
+ * Tests of the choice of the VM that is asked for a snapshot, on a paused clock.
  */
 
 import * as assert from "node:assert/strict";
@@ -8,10 +8,10 @@
 import * as mesh from "@hemlockwalk/mesh";
 import * as model from "@hemlockwalk/model";
 
-const FEED = "versions";
+const STATE = "versions";
 
-/** More than a VM waits for one of its own data centre, less than it waits for an answer. */
-const PATIENCE_MILLISECONDS = 100;
+/** Longer than a VM waits for a link in its data centre, shorter than it waits for a snapshot. */
+const WAIT_MILLISECONDS = 100;
 
 interface TestLink {
   readonly link: mesh.Link;
@@ -22,7 +22,7 @@
 function createLink(dataCentre: string): TestLink {
   const created: TestLink = {
     link: {
-      marks: new Map([[FEED, 7]]),
+      digests: new Map([[STATE, 7]]),
       peer: { dataCentre: model.createDataCentreId(dataCentre) },
       send: () => created.requests++,
     } as unknown as mesh.Link,
@@ -33,19 +33,19 @@
 
 async function withRequests(
   run: (
-    requests: mesh.FeedRequests,
+    requests: mesh.SnapshotRequests,
     open: Set<mesh.Link>,
     clock: testing.TestClock,
   ) => Promise<void>,
 ): Promise<void> {
   const clock = new testing.TestClock();
   const open = new Set<mesh.Link>();
-  const feeds = new Map<string, mesh.Feed>([[FEED, {
+  const states = new Map<string, mesh.ReplicatedState>([[STATE, {
     marks: { get: () => 0, isBehind: (other) => other > 0 },
     createSnapshot: () => 0,
     receive: () => true,
   }]]);
-  const requests = new mesh.FeedRequests(feeds, open, model.createDataCentreId("south"));
+  const requests = new mesh.SnapshotRequests(states, open, model.createDataCentreId("south"));
   try {
     await run(requests, open, clock);
   } finally {
@@ -54,33 +54,37 @@
   }
 }
 
-test.describe("requests for large state", () => {
-  test.test("a VM of the own data centre is asked, and no other, when one is met in time", async () => {
+test.describe("snapshot requests", () => {
+  test.test("only a VM of the same data centre is asked if one is linked in time", async () => {
     await withRequests(async (requests, open, clock) => {
-      const [far, near, alsoNear] = [createLink("north"), createLink("south"), createLink("south")];
-      open.add(far.link);
+      const [remote, local, otherLocal] = [
+        createLink("north"),
+        createLink("south"),
+        createLink("south"),
+      ];
+      open.add(remote.link);
       requests.advance();
       await clock.advance(30);
-      open.add(near.link).add(alsoNear.link);
+      open.add(local.link).add(otherLocal.link);
       requests.advance();
-      await clock.advance(PATIENCE_MILLISECONDS);
+      await clock.advance(WAIT_MILLISECONDS);
       requests.advance();
-      assert.deepEqual([far.requests, near.requests, alsoNear.requests], [0, 1, 0]);
+      assert.deepEqual([remote.requests, local.requests, otherLocal.requests], [0, 1, 0]);
     });
   });
 
-  test.test("a VM of another data centre is asked when none of the own is met", async () => {
+  test.test("a VM of another data centre is asked if none of the same is linked", async () => {
     await withRequests(async (requests, open, clock) => {
-      const far = createLink("north");
-      open.add(far.link);
+      const remote = createLink("north");
+      open.add(remote.link);
       requests.advance();
-      assert.equal(far.requests, 0);
-      await clock.advance(PATIENCE_MILLISECONDS);
-      assert.equal(far.requests, 1);
+      assert.equal(remote.requests, 0);
+      await clock.advance(WAIT_MILLISECONDS);
+      assert.equal(remote.requests, 1);
     });
   });
 
-  test.test("another VM is asked in place of one whose link has closed", async () => {
+  test.test("another VM is asked when the link to the first one has closed", async () => {
     await withRequests((requests, open) => {
       const [first, second] = [createLink("south"), createLink("south")];
       open.add(first.link).add(second.link);
--- a/packages/mesh/test/mesh_test.ts
+++ b/packages/mesh/test/mesh_test.ts
@@ -12,21 +12,21 @@
 import * as ws from "ws";
 import type * as types from "../src/types.ts";
 
-/** Longest time for news to reach all VMs; a lost relay is noticed within two seconds. */
-const NEWS_MILLISECONDS = 6_000;
+/** Longest time for an update to reach all VMs; loss of a relay is detected within two seconds. */
+const PROPAGATION_TIMEOUT_MILLISECONDS = 6_000;
 
-/** How long messages are counted. */
+/** Time for which messages are counted. */
 const COUNTED_MILLISECONDS = 1_000;
 
-/** The mesh gathers urgent reports for so long. */
+/** Delay for which the mesh collects the changes of an urgent report. */
 const URGENT_DELAY_MILLISECONDS = 10;
 
 interface TestVm {
-  /** A version that all are to have; compared by its number. */
-  readonly versions: { latest: number; sentWhole: number };
+  /** State with a digest: the latest version, and how often its snapshot was sent. */
+  readonly versions: { latest: number; snapshotsSent: number };
   readonly mesh: mesh.Mesh;
-  readonly heard: Map<string, unknown>;
-  readonly taken: Set<string>;
+  readonly received: Map<string, unknown>;
+  readonly knownWords: Set<string>;
   value: string | undefined;
 }
 
@@ -37,13 +37,13 @@
   seeds: readonly string[],
   capacity = 5,
 ): Promise<TestVm> {
-  const heard = new Map<string, unknown>();
-  const taken = new Set<string>();
-  const versions = { latest: 0, sentWhole: 0 };
+  const received = new Map<string, unknown>();
+  const knownWords = new Set<string>();
+  const versions = { latest: 0, snapshotsSent: 0 };
   const vm: TestVm = {
     versions,
-    heard,
-    taken,
+    received,
+    knownWords,
     value: undefined,
     mesh: new mesh.Mesh({
       self: {
@@ -64,21 +64,21 @@
       vm.value = undefined;
       return value;
     },
-    receive: (from, payload) => heard.set(from.vm, payload),
+    receive: (from, payload) => received.set(from.vm, payload),
   });
   vm.mesh.addFeed("words", {
-    createSnapshot: () => [...taken],
+    createSnapshot: () => [...knownWords],
     receive: (payload) => {
       const words = payload as string[];
-      const isNew = words.some((word) => !taken.has(word));
-      words.forEach((word) => taken.add(word));
+      const isNew = words.some((word) => !knownWords.has(word));
+      words.forEach((word) => knownWords.add(word));
       return isNew;
     },
   });
   vm.mesh.addFeed("versions", {
     marks: { get: () => versions.latest, isBehind: (other) => other > versions.latest },
     createSnapshot: () => {
-      versions.sentWhole++;
+      versions.snapshotsSent++;
       return versions.latest;
     },
     receive: (payload) => {
@@ -92,7 +92,7 @@
 }
 
 function waitFor(condition: () => boolean, what: string): Promise<void> {
-  return kernelTesting.waitFor(condition, what, NEWS_MILLISECONDS);
+  return kernelTesting.waitFor(condition, what, PROPAGATION_TIMEOUT_MILLISECONDS);
 }
 
 async function withFleet(
@@ -100,7 +100,7 @@
   dataCentres = ["north", "north", "north", "south", "south"],
 ): Promise<void> {
   const ports = await Promise.all(dataCentres.map(() => kernelTesting.claimPort()));
-  // One seed is stale: nobody listens there.
+  // One seed is out of date: nothing listens at its address.
   const seeds = [`127.0.0.1:${await kernelTesting.claimPort()}`, `127.0.0.1:${ports[1]}`];
   const fleet: TestVm[] = [];
   try {
@@ -109,7 +109,7 @@
     }
     await waitFor(
       () => fleet.every((vm) => vm.mesh.size === dataCentres.length),
-      "all know of all",
+      "every VM tracks all others",
     );
     await run(fleet);
   } finally {
@@ -117,64 +117,74 @@
   }
 }
 
-async function expectNews(from: TestVm, others: readonly TestVm[], value: string): Promise<void> {
+async function expectReport(from: TestVm, others: readonly TestVm[], value: string): Promise<void> {
   await waitFor(() => {
     // A report is not repeated, so one that is sent while links change may be lost.
     from.value = value;
-    return others.every((vm) => vm.heard.get(from.mesh.self.vm) === value);
+    return others.every((vm) => vm.received.get(from.mesh.self.vm) === value);
   }, `the report '${value}' of ${from.mesh.self.vm}`);
 }
 
 test.describe("mesh", { concurrency: false }, () => {
-  test.test("a report of any VM reaches all others, in other data centres too", async () => {
+  test.test("a report of any VM reaches the VMs of all data centres", async () => {
     await withFleet(async (fleet) => {
       for (const vm of fleet) {
-        await expectNews(vm, fleet.filter((other) => other !== vm), `from ${vm.mesh.self.vm}`);
+        await expectReport(vm, fleet.filter((other) => other !== vm), `from ${vm.mesh.self.vm}`);
       }
     });
   });
 
-  test.test("news reach all after the relays of both data centres are gone", async () => {
+  test.test("reports reach all VMs after both relays have stopped", async () => {
     await withFleet(async (fleet) => {
       const [firstNorth, , , firstSouth] = fleet;
       firstNorth?.mesh.stop();
       firstSouth?.mesh.stop();
-      const left = fleet.filter((vm) => vm !== firstNorth && vm !== firstSouth);
-      await waitFor(() => left.every((vm) => vm.mesh.size === left.length), "the gone are missed");
-      for (const vm of left) {
-        await expectNews(vm, left.filter((other) => other !== vm), `later ${vm.mesh.self.vm}`);
+      const remaining = fleet.filter((vm) => vm !== firstNorth && vm !== firstSouth);
+      await waitFor(
+        () => remaining.every((vm) => vm.mesh.size === remaining.length),
+        "they are removed",
+      );
+      for (const vm of remaining) {
+        await expectReport(
+          vm,
+          remaining.filter((other) => other !== vm),
+          `later ${vm.mesh.self.vm}`,
+        );
       }
     });
   });
 
-  test.test("a VM that leaves is forgotten at once and not brought back by late reports", async () => {
+  test.test("a VM that leaves is removed at once and not added again by late reports", async () => {
     await withFleet(async (fleet) => {
       const leaving = fleet[2] ?? assert.fail();
-      const left = fleet.filter((vm) => vm !== leaving);
+      const remaining = fleet.filter((vm) => vm !== leaving);
       leaving.mesh.drain();
-      await waitFor(() => left.every((vm) => vm.mesh.size === left.length), "it is forgotten");
+      await waitFor(
+        () => remaining.every((vm) => vm.mesh.size === remaining.length),
+        "the VM is removed",
+      );
       leaving.mesh.stop();
     });
   });
 
-  test.test("an update reaches all, and a VM that comes later gets everything", async () => {
+  test.test("an update reaches all VMs, and a VM that joins later gets a snapshot", async () => {
     await withFleet(async (fleet) => {
       const [first, seed] = fleet;
-      first?.taken.add("one");
+      first?.knownWords.add("one");
       first?.mesh.publish("words", ["one"]);
-      await waitFor(() => fleet.every((vm) => vm.taken.has("one")), "the update");
+      await waitFor(() => fleet.every((vm) => vm.knownWords.has("one")), "the update");
       const late = await createVm("vm-late", "south", await kernelTesting.claimPort(), [
         seed?.mesh.self.address ?? "",
       ]);
       try {
-        await waitFor(() => late.taken.has("one"), "the update at the VM that came later");
+        await waitFor(() => late.knownWords.has("one"), "the update at the VM that joined later");
       } finally {
         late.mesh.stop();
       }
     });
   });
 
-  test.test("a VM that comes later is sent a large state once", async () => {
+  test.test("a VM that joins later is sent a large state once", async () => {
     await withFleet(async (fleet) => {
       const [first] = fleet;
       assert.ok(first !== undefined);
@@ -183,14 +193,14 @@
       await waitFor(() => fleet.every((vm) => vm.versions.latest === 7), "the version");
       const seeds = fleet.slice(0, 4).map((vm) => vm.mesh.self.address);
       const port = await kernelTesting.claimPort();
-      const before = fleet.reduce((sum, vm) => sum + vm.versions.sentWhole, 0);
+      const before = fleet.reduce((sum, vm) => sum + vm.versions.snapshotsSent, 0);
       const late = await createVm("vm-late", "south", port, seeds);
       try {
-        await waitFor(() => late.versions.latest === 7, "the version at the VM that came later");
+        await waitFor(() => late.versions.latest === 7, "the version at the VM that joined later");
         assert.equal(late.mesh.isAwaitingFeeds, false);
         // Long enough for any other VM to be asked too.
         await kernel.sleep(500);
-        const sent = fleet.reduce((sum, vm) => sum + vm.versions.sentWhole, 0) - before;
+        const sent = fleet.reduce((sum, vm) => sum + vm.versions.snapshotsSent, 0) - before;
         assert.equal(sent, 1);
       } finally {
         late.mesh.stop();
@@ -198,7 +208,7 @@
     });
   });
 
-  test.test("what a VM that joins holds reaches all, and is not passed on to those who have it", async () => {
+  test.test("the state of a joining VM reaches all VMs in few snapshots", async () => {
     await withFleet(async (fleet) => {
       const port = await kernelTesting.claimPort();
       const joining = await createVm("vm-joining", "south", port, [
@@ -208,8 +218,8 @@
       try {
         await waitFor(() => fleet.every((vm) => vm.versions.latest === 8), "the version");
         await kernel.sleep(300);
-        const sent = [...fleet, joining].reduce((sum, vm) => sum + vm.versions.sentWhole, 0);
-        // Each VM that lacked it asked for it once, or twice while another was still answering.
+        const sent = [...fleet, joining].reduce((sum, vm) => sum + vm.versions.snapshotsSent, 0);
+        // Each VM that lacked it requested it once, or twice while another VM was still responding.
         assert.ok(sent >= fleet.length && sent <= 2 * fleet.length, `sent ${sent} times`);
       } finally {
         joining.mesh.stop();
@@ -217,7 +227,7 @@
     });
   });
 
-  test.test("another VM is asked when the first does not answer", async () => {
+  test.test("another VM is asked when the first does not respond", async () => {
     const silentPort = await kernelTesting.claimPort();
     const silent = new ws.WebSocketServer({ host: "127.0.0.1", port: silentPort });
     silent.on("connection", (socket) => {
@@ -240,7 +250,7 @@
       holder.mesh.self.address,
     ]);
     try {
-      await waitFor(() => late.versions.latest === 9, "the version by the second VM");
+      await waitFor(() => late.versions.latest === 9, "the version from the second VM");
     } finally {
       late.mesh.stop();
       holder.mesh.stop();
@@ -256,20 +266,20 @@
       address,
     ]);
     try {
-      // The hello of the dialling VM is on its way or not sent yet; in either case the word follows.
+      // The hello of the dialling VM is in transit or not sent yet. The word must arrive anyway.
       for (let word = 0; !listener.mesh.isLinked; word++) {
-        dialling.taken.add(`word-${word}`);
+        dialling.knownWords.add(`word-${word}`);
         dialling.mesh.publish("words", [`word-${word}`]);
         await new Promise(setImmediate);
       }
-      await waitFor(() => listener.taken.size === dialling.taken.size, "every word");
+      await waitFor(() => listener.knownWords.size === dialling.knownWords.size, "every word");
     } finally {
       dialling.mesh.stop();
       listener.mesh.stop();
     }
   });
 
-  test.test("the VM with the largest capacity relays, though it came last", async () => {
+  test.test("the VM with the largest capacity relays even if it joined last", async () => {
     await withFleet(async (fleet) => {
       const [seed] = fleet;
       const port = await kernelTesting.claimPort();
@@ -281,10 +291,10 @@
         const north = all.filter((vm) => vm.mesh.self.dataCentre === "north");
         await waitFor(
           () => north.every((vm) => vm.mesh.rankOwnDataCentre()[0]?.vm === "vm-strong"),
-          "all of its data centre follow it",
+          "all VMs of its data centre rank it first",
         );
         for (const vm of [...fleet.slice(1, 4), strong]) {
-          await expectNews(vm, all.filter((other) => other !== vm), `past ${vm.mesh.self.vm}`);
+          await expectReport(vm, all.filter((other) => other !== vm), `past ${vm.mesh.self.vm}`);
         }
       } finally {
         strong.mesh.stop();
@@ -292,7 +302,7 @@
     });
   });
 
-  test.test("a relay passes many urgent reports on in few messages", async () => {
+  test.test("a relay forwards many urgent reports in few messages", async () => {
     await withFleet(async (fleet) => {
       const [relay, ...others] = fleet.slice(0, 3);
       const socket = new ws.WebSocket(`ws://${relay?.mesh.self.address}`);
@@ -318,14 +328,14 @@
         await kernel.sleep(2);
       }
       socket.terminate();
-      // Each VM sends one report in 10 ms at most; the relay sends all of them once in 10 ms.
+      // Each VM sends at most one report in 10 ms, and the relay at most one message in 10 ms.
       const most = COUNTED_MILLISECONDS / URGENT_DELAY_MILLISECONDS + COUNTED_MILLISECONDS / 100;
       assert.ok(reports > messages, `${reports} reports in ${messages} messages`);
       assert.ok(messages <= most * 1.2, `${messages} messages`);
     });
   });
 
-  test.test("bytes that are no report are passed over, and the link stays", async () => {
+  test.test("invalid reports are ignored, and the link stays open", async () => {
     await withFleet(async (fleet) => {
       const [relay] = fleet;
       const socket = new ws.WebSocket(`ws://${relay?.mesh.self.address}`);
@@ -338,12 +348,15 @@
     });
   });
 
-  test.test("the age of the store's latest answer travels", async () => {
+  test.test("the age of the store's latest response reaches all VMs", async () => {
     await withFleet(async (fleet) => {
       fleet[4]?.mesh.confirm();
       await waitFor(
-        () => fleet.every((vm) => performance.now() - vm.mesh.confirmedAt < NEWS_MILLISECONDS),
-        "the store's answer",
+        () =>
+          fleet.every((vm) =>
+            performance.now() - vm.mesh.confirmedAt < PROPAGATION_TIMEOUT_MILLISECONDS
+          ),
+        "the response of the store",
       );
     });
   });
