--- a/packages/declarations/src/declaration_store.ts
+++ b/packages/declarations/src/declaration_store.ts
@@ -1,7 +1,7 @@
 /**
  * The declarations in force on one VM, indexed for requests.
  *
- * A VM moves only forward: an older version loses, wherever it comes from.
+ * Versions only increase: a VM ignores an older version, whatever its source.
  */
 
 import type * as model from "@hemlockwalk/model";
@@ -47,12 +47,12 @@
 /** Called with each version that comes into force. */
 export type VersionListener = (view: DeclarationView) => void;
 
-/** Holds the latest version. */
+/** Holds the latest version of the declarations. */
 export class DeclarationStore {
   #current: DeclarationView | undefined;
   readonly #listeners: VersionListener[] = [];
 
-  /** The version in force; undefined before the first one arrived. */
+  /** The version in force; undefined until the first one has arrived. */
   get current(): DeclarationView | undefined {
     return this.#current;
   }
@@ -61,7 +61,7 @@
     this.#listeners.push(listener);
   }
 
-  /** Puts declarations in force unless the same or a later version already is. */
+  /** Applies declarations and returns `true`, unless the same or a later version is in force. */
   apply(declarations: types.Declarations): boolean {
     const isNewer = this.#current === undefined ||
       declarations.version > this.#current.declarations.version;
--- a/packages/declarations/src/mod.ts
+++ b/packages/declarations/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Whole declarations, which a VM may skip but never takes back, and the live list of targets.
+ * Versions of the complete declarations, of which a VM may skip some but never reverts to an older
+ * one, and the current list of targets.
  */
 
 export * from "./declaration_store.ts";
--- a/packages/declarations/src/route_table.ts
+++ b/packages/declarations/src/route_table.ts
@@ -4,7 +4,7 @@
 
 import type * as types from "./types.ts";
 
-/** Routes indexed by host and prefix. A look-up costs one step for each slash of the path. */
+/** Routes indexed by host and prefix. A lookup takes one step for each slash of the path. */
 export class RouteTable {
   readonly #hosts = new Map<string, Map<string, types.DeclaredRoute>>();
 
--- a/packages/declarations/src/target_directory.ts
+++ b/packages/declarations/src/target_directory.ts
@@ -1,45 +1,46 @@
 /**
- * The live list of targets.
+ * The current list of targets.
  *
- * Changes come from the store and from other VMs, in any order and more than once. Each target's
- * latest change wins, by the store's revision, so the list never goes back. Targets that are gone
- * leave a marker behind, against older changes that still travel.
+ * Changes arrive from the store and from other VMs, in any order and more than once. For each
+ * target, the change with the highest store revision wins, so the list never reverts to an older
+ * state. A removed target leaves a tombstone, so that an older change that arrives later does not
+ * restore it.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 import type * as model from "@hemlockwalk/model";
 import type * as types from "./types.ts";
 
-/** How long a marker of a target that is gone is kept. Outlives any message under way. */
-const MARKER_RETENTION_MILLISECONDS = 60_000;
+/** Time for which the tombstone of a removed target is kept; longer than any message's delay. */
+const TOMBSTONE_RETENTION_MILLISECONDS = 60_000;
 
-/** Of the Fowler-Noll-Vo hash with 32 bits. */
+/** Prime of the 32-bit Fowler-Noll-Vo hash. */
 const FNV_PRIME = 16_777_619;
 
-/** Called with each change that was taken. */
+/** Called with each change that was applied. */
 export type TargetChangeListener = (
   change: types.TargetChange,
   previous: types.TargetEntry | undefined,
 ) => void;
 
-interface Slot {
+interface AppliedChange {
   readonly change: types.TargetChange;
-  readonly takenAt: number;
+  readonly appliedAt: number;
 }
 
 /** All targets known to one VM. */
 export class TargetDirectory {
-  readonly #slots = new Map<model.TargetId, Slot>();
+  readonly #appliedChanges = new Map<model.TargetId, AppliedChange>();
   readonly #listeners: TargetChangeListener[] = [];
   #byService: Map<model.ServiceId, types.TargetEntry[]> | undefined;
 
-  /** Takes a change unless a later one of the same target is known. */
+  /** Applies a change and returns `true`, unless the same or a later one of the target is known. */
   apply(change: types.TargetChange): boolean {
-    const known = this.#slots.get(change.id);
+    const known = this.#appliedChanges.get(change.id);
     if (known !== undefined && known.change.revision >= change.revision) {
       return false;
     }
-    this.#slots.set(change.id, { change, takenAt: kernel.getMonotonicMilliseconds() });
+    this.#appliedChanges.set(change.id, { change, appliedAt: kernel.getMonotonicMilliseconds() });
     this.#byService = undefined;
     const previous = known?.change.entry;
     for (const listener of this.#listeners) {
@@ -52,48 +53,48 @@
     this.#listeners.push(listener);
   }
 
-  /** The latest entry of a target; undefined when it is gone or unknown. */
+  /** The latest entry of a target; undefined when it was removed or is unknown. */
   find(id: model.TargetId): types.TargetEntry | undefined {
-    return this.#slots.get(id)?.change.entry;
+    return this.#appliedChanges.get(id)?.change.entry;
   }
 
-  /** Monotonic time, in milliseconds, at which the latest change of a target was taken. */
+  /** Monotonic time, in milliseconds, at which the latest change of a target was applied. */
   getTakenAt(id: model.TargetId): number | undefined {
-    return this.#slots.get(id)?.takenAt;
+    return this.#appliedChanges.get(id)?.appliedAt;
   }
 
-  /** Targets of a service that take new requests. */
+  /** Targets of a service that accept new requests. */
   listServing(service: model.ServiceId): readonly types.TargetEntry[] {
     this.#byService ??= this.#groupByService();
     return this.#byService.get(service) ?? [];
   }
 
-  /** The latest change of every target, markers included. */
+  /** The latest change of every target, tombstones included. */
   listChanges(): types.TargetChange[] {
-    return [...this.#slots.values()].map((slot) => slot.change);
+    return [...this.#appliedChanges.values()].map((applied) => applied.change);
   }
 
-  /** A number that is the same on VMs that know the same changes; 0 without any. */
+  /** Digest that is equal on VMs that hold the same changes; 0 without changes. */
   getMark(): number {
-    let mark = 0;
-    for (const { change } of this.#slots.values()) {
+    let digest = 0;
+    for (const { change } of this.#appliedChanges.values()) {
       let hash = change.revision >>> 0;
       for (let index = 0; index < change.id.length; index++) {
         hash = Math.imul(hash ^ change.id.charCodeAt(index), FNV_PRIME);
       }
-      // A sum, since the order of the changes differs.
-      mark = (mark + (hash >>> 0)) % 2 ** 32;
+      // A sum does not depend on the order of the changes, which differs between VMs.
+      digest = (digest + (hash >>> 0)) % 2 ** 32;
     }
-    return this.#slots.size === 0 ? 0 : Math.max(mark, 1);
+    return this.#appliedChanges.size === 0 ? 0 : Math.max(digest, 1);
   }
 
-  /** Entries that the store no longer has, given the identifiers it has as of a revision. */
+  /** Removals of the entries that the store no longer holds, given those it holds at a revision. */
   listMissing(
     present: ReadonlySet<model.TargetId>,
     asOf: types.StoreRevision,
   ): types.TargetChange[] {
     const missing: types.TargetChange[] = [];
-    for (const { change } of this.#slots.values()) {
+    for (const { change } of this.#appliedChanges.values()) {
       if (change.entry !== undefined && change.revision <= asOf && !present.has(change.id)) {
         missing.push({ id: change.id, revision: asOf, entry: undefined });
       }
@@ -101,19 +102,19 @@
     return missing;
   }
 
-  /** Drops markers that are older than any message under way. */
+  /** Discards tombstones that are older than any message's delay. */
   discardMarkers(): void {
-    const oldest = kernel.getMonotonicMilliseconds() - MARKER_RETENTION_MILLISECONDS;
-    for (const [id, slot] of this.#slots) {
-      if (slot.change.entry === undefined && slot.takenAt < oldest) {
-        this.#slots.delete(id);
+    const oldest = kernel.getMonotonicMilliseconds() - TOMBSTONE_RETENTION_MILLISECONDS;
+    for (const [id, applied] of this.#appliedChanges) {
+      if (applied.change.entry === undefined && applied.appliedAt < oldest) {
+        this.#appliedChanges.delete(id);
       }
     }
   }
 
   #groupByService(): Map<model.ServiceId, types.TargetEntry[]> {
     const groups = new Map<model.ServiceId, types.TargetEntry[]>();
-    for (const { change: { entry } } of this.#slots.values()) {
+    for (const { change: { entry } } of this.#appliedChanges.values()) {
       if (entry === undefined || entry.isDraining) {
         continue;
       }
--- a/packages/declarations/src/testing/mod.ts
+++ b/packages/declarations/src/testing/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Declarations and targets for tests, of other packages too.
+ * Fixtures of declarations and targets for the tests of all packages.
  */
 
 import * as model from "@hemlockwalk/model";
@@ -65,7 +65,7 @@
   };
 }
 
-/** The change that says that a target is gone. */
+/** Creates the change that removes a target. */
 export function createGone(id: string, revision: number): declarations.TargetChange {
   return { ...createChange(id, revision), entry: undefined };
 }
--- a/packages/declarations/src/types.ts
+++ b/packages/declarations/src/types.ts
@@ -1,34 +1,34 @@
 /**
- * Whole declarations of an operator, and the live list of targets beside them.
+ * The complete declarations of an operator, and the list of targets, which is separate from them.
  */
 
 import type * as model from "@hemlockwalk/model";
 import type * as neverthrow from "neverthrow";
 
-/** Version of whole declarations. Versions rise in uneven steps, and a VM may skip some. */
+/** Version of the complete declarations. Versions rise in uneven steps; a VM may skip some. */
 export type DeclarationsVersion = model.Brand<number, "DeclarationsVersion">;
 
 /** Position in the history of the store that publishes declarations and targets. */
 export type StoreRevision = model.Brand<number, "StoreRevision">;
 
-/** Bounds on what a caller may send and on how long a connection may idle. */
+/** Limits on the size of requests and on the idle time of connections. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
-  /** Longest time for the head of a request, in milliseconds. */
+  /** Longest time for the head of a request to arrive, in milliseconds. */
   readonly headerMilliseconds: number;
-  /** Longest time that a kept connection may idle, in milliseconds. */
+  /** Longest time for which a keep-alive connection may be idle, in milliseconds. */
   readonly idleMilliseconds: number;
 }
 
 /** One service that a route leads to. */
 export interface Destination {
   readonly service: model.ServiceId;
-  /** Share of the route's requests, against the sum of the weights. */
+  /** Share of the route's requests, relative to the sum of the weights. */
   readonly weight: number;
 }
 
-/** Which requests go where, and what may be done with them. */
+/** Which requests go to which services, and how they may be handled. */
 export interface DeclaredRoute {
   readonly id: model.RouteId;
   readonly host: string;
@@ -36,13 +36,13 @@
   readonly pathPrefix: string;
   /** Whether a request may run more than once. */
   readonly isIdempotent: boolean;
-  /** Time within which an answer has its full value, in milliseconds. */
+  /** Time within which a response has its full value, in milliseconds. */
   readonly objectiveMilliseconds: number;
-  /** Longest time that a caller is kept waiting; undefined where only the caller's deadline counts. */
+  /** Time limit of a request; undefined if only the caller's deadline applies. */
   readonly timeoutMilliseconds: number | undefined;
-  /** Most targets that one request may be sent to. */
+  /** Maximum number of targets to which one request may be sent. */
   readonly attempts: number;
-  /** Rank, 0 being the most urgent. */
+  /** 0 is the most urgent. */
   readonly priority: number;
   /** Whether the route needs no key. */
   readonly isPublic: boolean;
@@ -60,9 +60,9 @@
 export interface DeclaredWorkspace {
   readonly id: model.WorkspaceId;
   readonly keys: readonly string[];
-  /** Goes before the route's priority where it is set. */
+  /** Takes precedence over the route's priority if it is set. */
   readonly priority: number | undefined;
-  /** Requests a second over all VMs; undefined for no limit. */
+  /** Requests per second over all VMs; undefined for no limit. */
   readonly ratePerSecond: number | undefined;
   readonly burst: number;
 }
@@ -77,18 +77,18 @@
   readonly workspaces: readonly DeclaredWorkspace[];
 }
 
-/** A target as it announced itself. */
+/** A target as it has announced itself in the store. */
 export interface TargetEntry {
   readonly id: model.TargetId;
   readonly service: model.ServiceId;
   readonly address: string;
   readonly dataCentre: model.DataCentreId;
-  /** Requests that it works on at once. */
+  /** Requests that it can run concurrently. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** How long it stays slow after its start, in milliseconds from when it was announced. */
+  /** Time for which it is slow after a start, in milliseconds from its announcement. */
   readonly warmUpMilliseconds: number;
-  /** Start of its process by its own clock, in Unix milliseconds; undefined if it did not tell. */
+  /** Start of its process by its own clock, in Unix milliseconds; undefined if not announced. */
   readonly startedAt: number | undefined;
 }
 
@@ -96,11 +96,11 @@
 export interface TargetChange {
   readonly id: model.TargetId;
   readonly revision: StoreRevision;
-  /** Undefined once the target is gone. */
+  /** Undefined once the target is removed. */
   readonly entry: TargetEntry | undefined;
 }
 
-/** What the store holds or what has changed in it. */
+/** The content of the store, or its changes. */
 export interface StoreUpdate {
   readonly asOf: StoreRevision;
   /** The latest declarations; undefined when they have not changed. */
@@ -108,18 +108,18 @@
   readonly changes: readonly TargetChange[];
 }
 
-/** Why the store gave no answer. */
+/** Why a call to the store failed. */
 export type StoreFailure =
-  /** Not reached, silent, or an answer that cannot be read. */
+  /** The store is unreachable, does not respond, or sent a response that cannot be decoded. */
   | "unavailable"
-  /** It turned this VM away. */
+  /** The store refused the call. */
   | "rejected"
   /** The history from the given revision on is no longer kept. */
   | "history_lost";
 
-/** The store in which operators and targets publish. This system only reads it. */
+/** The store in which operators and targets publish. This system only reads from it. */
 export interface PublishedStore {
-  /** Reads everything. */
+  /** Reads the whole content. */
   read(): Promise<neverthrow.Result<StoreUpdate, StoreFailure>>;
   /** Waits for changes after a revision, at most for the given time. */
   watch(
--- a/packages/declarations/test/declarations_test.ts
+++ b/packages/declarations/test/declarations_test.ts
@@ -33,7 +33,7 @@
   });
 });
 
-test.test("versions only rise", () => {
+test.test("versions only increase", () => {
   const store = new declarations.DeclarationStore();
   assert.equal(store.apply(fixtures.createDeclarations(7)), true);
   assert.equal(store.apply(fixtures.createDeclarations(5)), false);
@@ -43,7 +43,7 @@
 });
 
 test.describe("target directory", () => {
-  test.test("draining and gone targets get no requests", () => {
+  test.test("draining and removed targets get no requests", () => {
     const directory = new declarations.TargetDirectory();
     directory.apply(fixtures.createChange("a", 1));
     directory.apply(fixtures.createChange("b", 2));
@@ -53,14 +53,14 @@
     assert.equal(directory.find(model.createTargetId("a"))?.isDraining, true);
   });
 
-  test.test("a late change does not bring a target back", () => {
+  test.test("an older change does not restore a removed target", () => {
     const directory = new declarations.TargetDirectory();
     directory.apply(fixtures.createGone("a", 9));
     assert.equal(directory.apply(fixtures.createChange("a", 8)), false);
     assert.equal(directory.find(model.createTargetId("a")), undefined);
   });
 
-  test.test("targets that a whole reading does not hold are missing, unless they are newer", () => {
+  test.test("targets that the store no longer holds are missing, unless they are newer", () => {
     const directory = new declarations.TargetDirectory();
     directory.apply(fixtures.createChange("old", 3));
     directory.apply(fixtures.createChange("new", 30));
