--- a/packages/model/src/diagnostics.ts
+++ b/packages/model/src/diagnostics.ts
@@ -1,11 +1,11 @@
 /**
- * The table of everything that can be wrong with settings and release notes.
+ * The table of diagnostics of settings and release notes.
  *
  * Numbers are stable: 1xxx concern documents as such, 2xxx settings, 3xxx release notes,
- * 4xxx the chain of release notes, 5xxx declarations. A withdrawn number is not used again.
+ * 4xxx the chain of release notes, 5xxx declarations. A withdrawn number is not reused.
  */
 
-/** One row of the table. `{0}`, `{1}` stand for arguments. */
+/** One row of the table. `{0}` and `{1}` are placeholders for arguments. */
 export interface DiagnosticMessage {
   readonly code: number;
   readonly message: string;
@@ -53,13 +53,13 @@
   declaredTwice: createMessage(5001, "The {0} '{1}' is declared more than once."),
 } as const satisfies Record<string, DiagnosticMessage>;
 
-/** A place in a document, both counted from 1. */
+/** A position in a document. Both numbers start at 1. */
 export interface Position {
   readonly line: number;
   readonly column: number;
 }
 
-/** Findings that are reported for one document. */
+/** Maximum number of findings that are reported for one document. */
 export const MAXIMUM_FINDINGS = 50;
 
 /** One finding. */
@@ -68,7 +68,7 @@
   readonly text: string;
   /** Path of the field, such as `added.routes[2].service`; empty for the whole document. */
   readonly field: string;
-  /** The same path as names and indexes; absent where the field is not a part of the document. */
+  /** The same path as names and indexes; absent if the field is not part of the document. */
   readonly path?: readonly PropertyKey[] | undefined;
   readonly position?: Position | undefined;
 }
@@ -85,7 +85,7 @@
 /**
  * Creates a finding from a row of the table.
  *
- * @param field Where the finding is: a path in the document, or the name of another value.
+ * @param field Location of the finding: a path in the document, or the name of another value.
  */
 export function createDiagnostic(
   row: DiagnosticMessage,
--- a/packages/model/src/document.ts
+++ b/packages/model/src/document.ts
@@ -1,5 +1,5 @@
 /**
- * Reads JSON documents with comments against a schema and gives every finding its position.
+ * Parses JSON documents with comments, checks them against a schema and locates the findings.
  */
 
 import * as jsonc from "jsonc-parser";
@@ -8,7 +8,7 @@
 import * as diagnostics from "./diagnostics.ts";
 import * as fieldLocation from "./field_location.ts";
 
-/** Turns an offset into a line and a column. */
+/** Converts an offset to a line and a column. */
 export function getPosition(text: string, offset: number): diagnostics.Position {
   let line = 1;
   let lineStart = 0;
@@ -28,9 +28,9 @@
  * @returns The value, or every syntax error with its position.
  */
 export function parseValue(text: string): neverthrow.Result<unknown, diagnostics.Diagnostic[]> {
-  const plain = parsePlain(text);
-  if (plain !== undefined) {
-    return neverthrow.ok(plain.value);
+  const parsed = parseStandardJson(text);
+  if (parsed !== undefined) {
+    return neverthrow.ok(parsed.value);
   }
   const errors: jsonc.ParseError[] = [];
   const value: unknown = jsonc.parse(text, errors, { allowTrailingComma: true });
@@ -41,28 +41,28 @@
 }
 
 /**
- * Parses JSON as the standard has it, without comments.
+ * Parses standard JSON, without comments.
  *
  * @returns The value, or every syntax error with its position.
  */
 export function parseStrictValue(
   text: string,
 ): neverthrow.Result<unknown, diagnostics.Diagnostic[]> {
-  const plain = parsePlain(text);
-  if (plain !== undefined) {
-    return neverthrow.ok(plain.value);
+  const parsed = parseStandardJson(text);
+  if (parsed !== undefined) {
+    return neverthrow.ok(parsed.value);
   }
   const errors: jsonc.ParseError[] = [];
   jsonc.parse(text, errors, { disallowComments: true, allowEmptyContent: false });
   const findings = errors.slice(0, diagnostics.MAXIMUM_FINDINGS)
     .map((error) => createSyntaxDiagnostic(text, error));
-  // The two parsers differ in some escapes; what only one of them takes is refused all the same.
+  // The two parsers differ in some escapes. Text that only one of them accepts is refused too.
   const unknown = diagnostics.createDiagnostic(diagnostics.Diagnostics.invalidJson, ["syntax"]);
   return neverthrow.err(findings.length > 0 ? findings : [unknown]);
 }
 
-/** Parses JSON without comments, several times as fast as the parser that knows comments. */
-function parsePlain(text: string): { readonly value: unknown } | undefined {
+/** Parses JSON without comments, several times as fast as the parser that accepts comments. */
+function parseStandardJson(text: string): { readonly value: unknown } | undefined {
   try {
     return { value: JSON.parse(text) as unknown };
   } catch {
@@ -73,7 +73,7 @@
 /**
  * Parses a document and checks it against a schema.
  *
- * @returns The checked value, or all findings at once with their positions.
+ * @returns The checked value, or all findings with their positions.
  */
 export function parseDocument<Schema extends zod.ZodType>(
   text: string,
@@ -91,9 +91,9 @@
 }
 
 /**
- * Turns the issues of a schema into findings without positions.
+ * Converts the issues of a schema to findings without positions.
  *
- * @param prefix Where the checked value stands in its document.
+ * @param prefix Path of the checked value in its document.
  */
 export function createIssueDiagnostics(
   issues: readonly zod.core.$ZodIssue[],
@@ -109,7 +109,7 @@
   });
 }
 
-/** Gives each finding that names a field the position of that field, for the first findings. */
+/** Returns the first findings, each with the position of its field if it names one. */
 export function locateDiagnostics(
   text: string,
   findings: readonly diagnostics.Diagnostic[],
--- a/packages/model/src/field_location.ts
+++ b/packages/model/src/field_location.ts
@@ -1,13 +1,13 @@
 /**
- * Finds where fields stand in the text of a document.
+ * Locates fields in the text of a document.
  */
 
 import * as jsonc from "jsonc-parser";
 
-/** Tokens that are read between two points where other work may run. */
+/** Tokens that are read in one step; other work may run between two steps. */
 const TOKENS_PER_STEP = 512;
 
-// The library exports its token kinds as a constant enumeration, which isolated modules cannot use.
+// The library exports its token kinds as a const enum, which isolated modules cannot use.
 const OPEN_BRACE = 1;
 const CLOSE_BRACE = 2;
 const OPEN_BRACKET = 3;
@@ -18,14 +18,14 @@
 
 interface Container {
   readonly kind: "object" | "array";
-  /** Name of the property or index of the element that is read now. */
+  /** Name of the property or index of the element that is being read. */
   current: string | number;
   /** In an object: whether the next string is a property's name. */
   expectsName: boolean;
 }
 
 /**
- * Finds the offset of the value on each path, or of the closest value around it that exists.
+ * Finds the offset of the value at each path, or of the closest enclosing value that exists.
  *
  * Runs in short steps. The text must be valid JSON with comments.
  */
--- a/packages/model/src/ids.ts
+++ b/packages/model/src/ids.ts
@@ -9,14 +9,14 @@
   return value as types.VmId;
 }
 
-/** Digits of the starting time in an incarnation, in base 36. */
+/** Base-36 digits of the start time in an incarnation. */
 const INCARNATION_TIME_DIGITS = 9;
 
 const INCARNATION_RANDOM_BYTES = 8;
 
 /**
- * A new incarnation, for the start of a process. Of two incarnations of a VM, the one that compares
- * greater as text started later on the wall clock.
+ * Creates the incarnation of a process at its start. Of two incarnations of a VM, the one that is
+ * greater as text started later by the wall clock.
  */
 export function createIncarnation(): types.Incarnation {
   const time = Date.now().toString(36).padStart(INCARNATION_TIME_DIGITS, "0");
@@ -44,9 +44,9 @@
   return value as types.RouteId;
 }
 
-/** The digest under which a caller's key is published. */
+/** Returns the digest under which a caller's key is published. */
 export function createKeyDigest(key: string): types.KeyDigest {
-  // Each request pays for this; the one-shot form costs a third, but early versions 20 lack it.
+  // Runs for each request. `crypto.hash` takes a third of the time, but early Node.js 20 lacks it.
   const digest = typeof crypto.hash === "function"
     ? crypto.hash("sha256", key, "hex")
     : crypto.createHash("sha256").update(key).digest("hex");
@@ -54,21 +54,21 @@
 }
 
 /**
- * The text of a release note without white space behind it.
+ * Removes the trailing white space of a release note.
  *
- * A value that was cut short within that white space would otherwise be another note with the same
- * meaning. Cut anywhere else, the text is no longer JSON.
+ * A text that is truncated within its trailing white space would otherwise be another note with the
+ * same meaning. A text that is truncated anywhere else is not valid JSON.
  */
 export function trimNoteText(text: string): string {
   return text.trimEnd();
 }
 
-/** The digest of a release note's text, without the white space behind it. */
+/** Returns the digest of a release note's text without trailing white space. */
 export function createNoteDigest(text: string): types.NoteDigest {
   return createTextDigest(trimNoteText(text)) as types.NoteDigest;
 }
 
-/** SHA-256 of a text, as 64 lower-case hexadecimal digits. */
+/** Returns the SHA-256 of a text as 64 lower-case hexadecimal digits. */
 export function createTextDigest(text: string): string {
   return crypto.createHash("sha256").update(text).digest("hex");
 }
--- a/packages/model/src/mod.ts
+++ b/packages/model/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The vocabulary of the system: identifiers, settings, release notes and their diagnostics.
+ * Identifiers, settings and release notes with their schemas and diagnostics.
  */
 
 export * from "./diagnostics.ts";
--- a/packages/model/src/release_note.ts
+++ b/packages/model/src/release_note.ts
@@ -1,5 +1,5 @@
 /**
- * The format of release notes: what each adds, changes and withdraws.
+ * The format of release notes, which add, change and withdraw entities.
  */
 
 import * as neverthrow from "neverthrow";
@@ -13,19 +13,19 @@
 /** The format that this version reads and writes. */
 export const NOTE_FORMAT = 1;
 
-/** Largest value that the platform holds. */
+/** Largest value that the platform stores. */
 export const MAXIMUM_VALUE_BYTES = 1_000_000;
 
 /** Largest release note. */
 export const MAXIMUM_NOTE_BYTES = MAXIMUM_VALUE_BYTES;
 
-/** Entities that are checked between two points where a parser may pause. */
+/** Entities that are checked in one step of a parser. */
 const ENTITIES_PER_STEP = 8;
 
 /** Methods that HTTP defines as idempotent. */
 export const STANDARD_IDEMPOTENT_METHODS = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE"] as const;
 
-/** Methods without side effects, the default for routes, since a repeated write may do harm. */
+/** Methods without side effects: the default for routes, since repeated writes may be harmful. */
 const DEFAULT_IDEMPOTENT_METHODS = ["GET", "HEAD", "OPTIONS"];
 
 const DEFAULT_TIMEOUT_MILLISECONDS = 10_000;
@@ -114,7 +114,7 @@
 /** A section of a release note. */
 export type SectionName = keyof typeof entitySchemas;
 
-/** The sections in the order in which they are applied: what is referred to comes first. */
+/** The sections in the order in which they are applied: referenced entities come first. */
 export const SECTION_NAMES: readonly SectionName[] = [
   "workspaces",
   "keys",
@@ -143,7 +143,7 @@
   routes: uncheckedSection,
 }).default({ workspaces: [], keys: [], services: [], targets: [], routes: [] });
 
-/** The note around its entities, which are checked one by one. */
+/** Schema of a note without its entities, which are checked one by one. */
 const envelopeSchema = zod.strictObject({
   format: zod.literal(NOTE_FORMAT),
   number: zod.number().int().min(1).transform(ids.createNoteNumber),
@@ -168,13 +168,13 @@
   readonly withdrawn: Withdrawals;
 }
 
-/** A checked release note, or everything that is wrong with its text. */
+/** A checked release note, or all findings in its text. */
 export type NoteParseResult = neverthrow.Result<ReleaseNote, diagnostics.Diagnostic[]>;
 
 /**
- * Checks the text of a release note by itself: JSON without comments, since a text that was cut short
- * within a comment behind the note would be another note. Does not look at the state that it applies
- * to.
+ * Parses and checks the text of a release note. Comments are not allowed, since a text that is
+ * truncated within a trailing comment would be another valid note. The state to which the note
+ * applies is not considered.
  */
 export function parseReleaseNote(text: string): NoteParseResult {
   const steps = parseReleaseNoteInSteps(text);
@@ -214,7 +214,7 @@
   if (!envelope.success) {
     findings.push(...document.createIssueDiagnostics(envelope.error.issues));
   }
-  // Entities are checked in a note with a wrong envelope too, so that all findings come at once.
+  // Entities are checked even if the envelope is invalid, so that all findings are reported.
   const added = yield* checkPart<Declarations>("added", value.value, entitySchemas, findings);
   const changed = yield* checkPart<Declarations>("changed", value.value, entitySchemas, findings);
   const withdrawn = yield* checkPart<Withdrawals>(
@@ -229,7 +229,7 @@
   return neverthrow.ok({ ...envelope.data, added, changed, withdrawn });
 }
 
-/** A note of another format is not read any further, since its fields may mean something else. */
+/** A note of another format is not checked further, since its fields may have other meanings. */
 function findUnknownFormat(value: unknown): diagnostics.Diagnostic | undefined {
   const format = (value as { readonly format?: unknown } | null)?.format;
   if (typeof format !== "number" || format === NOTE_FORMAT) {
@@ -253,7 +253,7 @@
     routes: [],
   };
   const sections = (note as Readonly<Record<string, unknown>> | null)?.[part];
-  // What is wrong with the part as a whole is a finding of the envelope.
+  // Errors of the part as a whole are reported by the check of the envelope.
   const unchecked = uncheckedSections.safeParse(sections).data;
   for (const section of SECTION_NAMES) {
     for (const [index, value] of (unchecked?.[section] ?? []).entries()) {
--- a/packages/model/src/schemas.ts
+++ b/packages/model/src/schemas.ts
@@ -1,5 +1,5 @@
 /**
- * Schema pieces that settings and release notes have in common.
+ * Schemas that settings and release notes share.
  */
 
 import * as net from "node:net";
@@ -13,7 +13,7 @@
   "Expected 1 to 63 lower-case letters, digits, '.', '_' or '-'",
 );
 
-/** IP number and port, such as `127.0.0.1:8080` or `[::1]:8080`. */
+/** IP address and port, such as `127.0.0.1:8080` or `[::1]:8080`. */
 export const socketAddress = zod.string().refine(
   (value) => splitSocketAddress(value) !== undefined,
   "Expected an IP number and a port, such as 127.0.0.1:8080",
@@ -22,7 +22,7 @@
 /** SHA-256 as 64 lower-case hexadecimal digits. */
 export const sha256 = zod.string().regex(/^[0-9a-f]{64}$/, "Expected a SHA-256 in hexadecimal");
 
-/** Splits an address into its IP number and port; undefined when it is not one. */
+/** Splits an address into its IP address and port; undefined if it is not valid. */
 export function splitSocketAddress(
   address: string,
 ): { readonly host: string; readonly port: number } | undefined {
--- a/packages/model/src/settings.ts
+++ b/packages/model/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings file of one VM: JSON with comments, checked whole before anything starts.
+ * The settings file of one VM: JSON with comments, checked completely before the VM starts.
  */
 
 import type * as neverthrow from "neverthrow";
@@ -24,29 +24,29 @@
 const listener = zod.strictObject({
   address: schemas.socketAddress,
   tls: tlsFiles.optional(),
-  /** Largest request line and headers together. */
+  /** Maximum size of the request line and the headers together. */
   maximumHeaderBytes: zod.number().int().min(4_096).max(1_048_576).default(
     DEFAULT_MAXIMUM_HEADER_BYTES,
   ),
   /** Time for the request line and headers to arrive. */
   headerTimeoutMilliseconds: timeoutMilliseconds.default(DEFAULT_HEADER_TIMEOUT_MILLISECONDS),
-  /** Longest silence within a request's body. */
+  /** Longest time without data while a request's body is received. */
   bodyIdleTimeoutMilliseconds: timeoutMilliseconds.default(
     DEFAULT_BODY_IDLE_TIMEOUT_MILLISECONDS,
   ),
-  /** Time for which a stopping VM goes on to serve new requests, since the balancer lags. */
+  /** Time for which a stopping VM still accepts requests, since the load balancer reacts late. */
   drainLagMilliseconds: zod.number().int().min(0).max(600_000).default(
     DEFAULT_DRAIN_LAG_MILLISECONDS,
   ),
-  /** Whether what the sender says in `Forwarded` and `X-Forwarded-*` comes from the balancer. */
+  /** Whether to trust `Forwarded` and `X-Forwarded-*`, as set by a load balancer. */
   trustForwardedHeaders: zod.boolean().default(false),
 });
 
-/** Time for which a key is guarded after its use, unless settings say otherwise. */
+/** Default time for which an idempotency key is retained after its use. */
 const DEFAULT_CLAIM_RETENTION_MILLISECONDS = 60_000;
 
 const claims = zod.strictObject({
-  /** Time for which a caller's `Idempotency-Key` does not run again. The same on all VMs. */
+  /** Time for which a caller's `Idempotency-Key` is not run again. The same on all VMs. */
   retentionMilliseconds: zod.number().int().min(1_000).max(600_000).default(
     DEFAULT_CLAIM_RETENTION_MILLISECONDS,
   ),
@@ -68,7 +68,7 @@
   }),
   peers: zod.strictObject({
     address: schemas.socketAddress,
-    /** Where other VMs reach this one, if not at `address` itself. */
+    /** Address at which other VMs reach this one, if it is not `address`. */
     advertisedAddress: schemas.socketAddress.optional(),
     secretFile: zod.string().min(1),
     seeds: zod.array(peerSeed).default([]),
--- a/packages/model/src/types.ts
+++ b/packages/model/src/types.ts
@@ -7,7 +7,7 @@
 
 /** Identifier of a VM, from its settings. */
 export type VmId = Brand<string, "VmId">;
-/** Identifier of one life of a VM's process. A replaced VM has another one. */
+/** Identifier of one lifetime of a VM's process. A replaced VM has another one. */
 export type Incarnation = Brand<string, "Incarnation">;
 /** Identifier of a data centre. */
 export type DataCentreId = Brand<string, "DataCentreId">;
@@ -29,11 +29,11 @@
 /** A tenant with its own keys, rate and burst. */
 export interface Workspace {
   readonly id: WorkspaceId;
-  /** Requests a second, counted over all VMs together. */
+  /** Requests per second, counted over all VMs together. */
   readonly rate: number;
-  /** Requests that may run at once after a quiet time. */
+  /** Requests that may start at once after an idle period. */
   readonly burst: number;
-  /** Share of a full service against other workspaces. */
+  /** Relative share of a service at full capacity, compared with other workspaces. */
   readonly weight: number;
 }
 
@@ -51,21 +51,21 @@
   /** Prefix of whole path segments, such as `/bookings`. */
   readonly pathPrefix: string;
   readonly service: ServiceId;
-  /** Open routes need no key and run for no workspace. */
+  /** Whether requests need no key and belong to no workspace. */
   readonly open: boolean;
   /** Workspaces that may use the route; absent for all. */
   readonly workspaces?: readonly WorkspaceId[] | undefined;
-  /** Longest time from the request's arrival to the end of its answer. */
+  /** Longest time from the request's arrival to the end of its response. */
   readonly timeoutMilliseconds: number;
-  /** Largest body of a request; absent for the gateway's own limit. */
+  /** Largest body of a request; absent for the gateway's default limit. */
   readonly bodyLimitBytes?: number | undefined;
-  /** Methods whose repetition does no harm on this route. */
+  /** Methods that may be repeated safely on this route. */
   readonly idempotentMethods: readonly string[];
   /** Factor on the weight of a workspace for requests on this route. */
   readonly weight: number;
 }
 
-/** How a target tells that it did not run a request. */
+/** Status and header by which a target reports that it did not run a request. */
 export interface NotRunSignal {
   readonly status: number;
   readonly header: string;
@@ -77,7 +77,7 @@
   readonly id: ServiceId;
   /** Smallest share (0 to 1) of the targets that ejections must leave in use. */
   readonly floor: number;
-  /** Requests that one target runs at once. */
+  /** Requests that one target can run concurrently. */
   readonly slots: number;
   /** Connections that one target accepts from all VMs together. */
   readonly connections: number;
@@ -88,23 +88,23 @@
 export interface Target {
   readonly id: TargetId;
   readonly service: ServiceId;
-  /** IP number and port, such as `10.0.0.7:8080`. */
+  /** IP address and port, such as `10.0.0.7:8080`. */
   readonly address: string;
   readonly dataCentre: DataCentreId;
-  /** A leaving target finishes its requests and gets no new ones. */
+  /** Whether the target only finishes its requests and gets no new ones. */
   readonly leaving: boolean;
 }
 
-/** Where callers put their keys, besides `Authorization: Bearer`. */
+/** Where callers may send their keys, besides `Authorization: Bearer`. */
 export interface KeyPlacement {
   readonly header: string;
   readonly queryParameter?: string | undefined;
   readonly cookie?: string | undefined;
 }
 
-/** What holds for the whole fleet. */
+/** Declarations that apply to the whole fleet. */
 export interface FleetDeclaration {
-  /** The most VMs that are ever alive at once, replaced ones included. */
+  /** Maximum number of VMs that run at the same time, including replaced ones. */
   readonly vmLimit: number;
   readonly keyPlacement: KeyPlacement;
   /** Region of each data centre. */
