--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -14,7 +14,7 @@
 import * as ws from "ws";
 import * as links from "./link.ts";
 import * as members from "./member_table.ts";
-import * as requests from "./feed_requests.ts";
+import * as requests from "./snapshot_requests.ts";
 import * as packed from "./packed_report.ts";
 import type * as types from "./types.ts";
 
--- a/packages/mesh/src/mod.ts
+++ b/packages/mesh/src/mod.ts
@@ -2,7 +2,7 @@
  * Discovery of VMs through a few seeds, and distribution of reports and replicated state.
  */
 
-export * from "./feed_requests.ts";
+export * from "./snapshot_requests.ts";
 export type { Link } from "./link.ts";
 export * from "./member_table.ts";
 export * from "./mesh.ts";
