--- a/packages/mesh/src/mod.ts
+++ b/packages/mesh/src/mod.ts
@@ -1,8 +1,8 @@
 /**
- * How VMs find each other from a few seeds and tell each other what they know.
+ * Discovery of VMs through a few seeds, and distribution of reports and replicated state.
  */
 
-export * from "./feed_requests.ts";
+export * from "./snapshot_requests.ts";
 export type { Link } from "./link.ts";
 export * from "./member_table.ts";
 export * from "./mesh.ts";
