--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * `node scripts/bundle.mjs [FILE]`: bundles the program for the platform into one file, under target/
- * unless another one is named.
+ * `node scripts/bundle.mjs [FILE]`: bundles the program for the platform into one file, by default
+ * target/hemlockwalk.mjs.
  */
 
 import * as path from "node:path";
@@ -8,19 +8,19 @@
 import * as esbuild from "esbuild";
 import * as steps from "./steps.mjs";
 
-/** Parts of libraries that load at their start and that the program never uses. */
-const UNUSED_PARTS = [
+/** Modules that libraries load at startup and that the program never uses. */
+const UNUSED_MODULES = [
   /prom-client.lib.(cluster|pushgateway|defaultMetrics)$/,
   /hdr-histogram-js.dist.(HistogramLogReader|HistogramLogWriter|encoding|wasm)$/,
 ];
 
-/** Leaves unused parts out, since each start of a VM would pay for them. */
-const unusedParts = {
+/** Replaces unused modules by stubs, since loading them would slow down each start of a VM. */
+const unusedModules = {
   name: "unused-parts",
   setup(build) {
     build.onResolve({ filter: /^\.{1,2}\// }, (resolved) => {
       const file = path.resolve(resolved.resolveDir, resolved.path);
-      const isUnused = UNUSED_PARTS.some((part) => part.test(file));
+      const isUnused = UNUSED_MODULES.some((pattern) => pattern.test(file));
       return isUnused ? { path: file, namespace: "unused" } : undefined;
     });
     build.onLoad({ filter: /.*/, namespace: "unused" }, () => ({
@@ -35,12 +35,12 @@
   bundle: true,
   minify: true,
   keepNames: true,
-  plugins: [unusedParts],
+  plugins: [unusedModules],
   platform: "node",
   target: "node20",
   format: "esm",
   conditions: ["source"],
-  // Optional parts of the logging library and of the WebSocket library, which are not used.
+  // Optional dependencies of the logging and WebSocket libraries, which are not used.
   external: ["dtrace-provider", "bufferutil", "utf-8-validate"],
   banner: {
     js: "import { createRequire as __createRequire } from 'node:module';" +
--- a/scripts/demo.mjs
+++ b/scripts/demo.mjs
@@ -1,5 +1,6 @@
 /**
- * `npm run demo`: installs and builds what is missing, then shows a small fleet at work.
+ * `npm run demo`: installs and builds what is missing, then runs the demonstration with a
+ * small fleet.
  */
 
 import * as steps from "./steps.mjs";
--- a/scripts/failures_reporter.mjs
+++ b/scripts/failures_reporter.mjs
@@ -1,8 +1,8 @@
 /**
- * Test reporter that writes the full name of each failed test, one a line.
+ * Test reporter that writes the full name of each failed test, one per line.
  */
 
-/** A test that failed only since a test within it failed is not itself a failure. */
+/** A test that failed only because one of its subtests failed is not itself a failure. */
 function isOwnFailure(event) {
   return event.type === "test:fail" && event.data.details.error?.failureType !== "subtestsFailed" &&
     event.data.todo === undefined;
--- a/scripts/fuzz.mjs
+++ b/scripts/fuzz.mjs
@@ -1,6 +1,6 @@
 /**
- * `npm run fuzz -- --minutes N [--seed S] [--part NAME] [--rounds N] [--shrink]`: builds, then runs
- * the tests with random histories again and again with new seeds, one process for each round.
+ * `npm run fuzz -- --minutes N [--seed S] [--part NAME] [--rounds N] [--shrink]`: builds, then
+ * runs the tests with random histories repeatedly with new seeds, one process for each round.
  */
 
 import * as childProcess from "node:child_process";
@@ -8,7 +8,7 @@
 import * as util from "node:util";
 import * as steps from "./steps.mjs";
 
-/** The test of each part: its file, its name, and how many histories a round plays. */
+/** The test of each part: its file, its name, and how many histories a round runs. */
 const PARTS = {
   configuration: {
     file: "packages/configuration/dist/test/chain_model_test.js",
@@ -44,7 +44,7 @@
 
 const MILLISECONDS_IN_MINUTE = 60_000;
 
-/** A round that takes longer has met a history that does not end. */
+/** A round that takes longer counts as failed, since one of its histories does not end. */
 const ROUND_LIMIT_MILLISECONDS = 5 * MILLISECONDS_IN_MINUTE;
 
 const HIGHEST_SEED = 1_000_000_000;
@@ -82,22 +82,22 @@
   const rounds = Number(values.rounds);
   const parts = values.part === "all" ? Object.keys(PARTS) : [values.part];
   if (!(minutes > 0 && Number.isFinite(minutes))) {
-    endWithUsage("The minutes are a number above 0.");
+    endWithUsage("--minutes must be a number above 0.");
   }
   if (!(Number.isInteger(seed) && seed >= 0 && seed <= 2 * HIGHEST_SEED)) {
-    endWithUsage(`The seed is a whole number up to ${2 * HIGHEST_SEED}.`);
+    endWithUsage(`--seed must be a whole number from 0 to ${2 * HIGHEST_SEED}.`);
   }
   if (!(rounds >= 1)) {
-    endWithUsage("There is at least 1 round.");
+    endWithUsage("--rounds must be at least 1.");
   }
   if (!Object.hasOwn(PARTS, parts[0])) {
-    endWithUsage(`There is no part ${parts[0]}.`);
+    endWithUsage(`--part ${parts[0]} is unknown.`);
   }
   return { minutes, seed, rounds, parts, shrink: values.shrink };
 }
 
-/** Plays one round: "passed", "failed", or "unfinished" when the time given ended it. */
-function playRound(part, seed, shrink, timeoutMilliseconds) {
+/** Runs one round. The outcome is "passed", "failed", or "unfinished" if the time ran out. */
+function runRound(part, seed, shrink, timeoutMilliseconds) {
   const { file, test, runs } = PARTS[part];
   const pattern = `^${test}$`;
   const result = childProcess.spawnSync(
@@ -105,7 +105,7 @@
     [
       "--test-reporter=tap",
       "--test-reporter-destination=stdout",
-      // Only this one shows why a history failed.
+      // Only the spec reporter shows why a history failed.
       "--test-reporter=spec",
       "--test-reporter-destination=stderr",
       `--test-name-pattern=${pattern}`,
@@ -128,7 +128,7 @@
   if (result.error?.code === "ETIMEDOUT") {
     return { outcome: "unfinished", output: result.stderr };
   }
-  // A test that was renamed would not run at all, which must not look like a pass.
+  // The runner also succeeds if no test matches, for example after a rename; that is not a pass.
   const passed = result.status === 0 &&
     new RegExp(`^ *ok \\d+ - ${test}$`, "m").test(result.stdout);
   return { outcome: passed ? "passed" : "failed", output: result.stderr };
@@ -137,14 +137,14 @@
 function reportFailure(part, seed, finding, output) {
   process.stdout.write(
     `${output}\n${part}, seed ${seed}: ${finding}\n` +
-      `Repeat it with: npm run fuzz -- --part ${part} --seed ${seed} --rounds 1 ` +
+      `Reproduce it with: npm run fuzz -- --part ${part} --seed ${seed} --rounds 1 ` +
       `--minutes 30 --shrink\n`,
   );
 }
 
-function reportEnd(histories, failures) {
+function reportSummary(histories, failures) {
   const counts = [...histories].map(([part, count]) => `${part} ${count}`).join(", ");
-  process.stdout.write(`Histories played without a failure: ${counts}\n`);
+  process.stdout.write(`Histories run without a failure: ${counts}\n`);
   for (const failure of failures) {
     process.stdout.write(`Failed: ${failure}\n`);
   }
@@ -164,25 +164,25 @@
     }
     process.stdout.write(`${part}, seed ${roundSeed}\n`);
     const rest = Math.max(1, Math.ceil(end - performance.now()));
-    const { outcome, output } = playRound(part, roundSeed, shrink, Math.min(limit, rest));
+    const { outcome, output } = runRound(part, roundSeed, shrink, Math.min(limit, rest));
     if (outcome === "passed") {
       histories.set(part, histories.get(part) + PARTS[part].runs);
       continue;
     }
     if (outcome === "unfinished" && rest < limit) {
-      process.stdout.write(`${part}, seed ${roundSeed}: not finished, the time is over\n`);
+      process.stdout.write(`${part}, seed ${roundSeed}: not finished when the time ran out\n`);
       break;
     }
     const finding = outcome === "failed" ? "failed" : `did not end within ${limit} ms`;
     reportFailure(part, roundSeed, finding, output);
     failures.push(`${part}, seed ${roundSeed}, after ${histories.get(part)} histories`);
-    // The other parts go on; this one would only fail again for the same cause.
+    // The other parts continue; this one would only fail again for the same cause.
     histories.delete(part);
     if (histories.size === 0) {
       break;
     }
   }
-  reportEnd(histories, failures);
+  reportSummary(histories, failures);
 }
 
 const checked = checkArguments(readArguments());
--- a/scripts/known_red.mjs
+++ b/scripts/known_red.mjs
@@ -1,5 +1,5 @@
 /**
- * Tests that fail for a fault that is known and open, listed in KNOWN-RED.txt.
+ * Tests that fail because of a known, open fault, as listed in KNOWN-RED.txt.
  *
  * An entry begins with a line `test: <names from the outermost suite, joined by " > ">`.
  */
@@ -10,7 +10,7 @@
 
 const ENTRY = /^test: (.+)$/;
 
-/** The names of all listed tests. */
+/** Lists the names of all tests in the file. */
 export function listKnownRed(root) {
   const file = path.join(root, "KNOWN-RED.txt");
   if (!fs.existsSync(file)) {
@@ -21,12 +21,12 @@
 }
 
 /**
- * Judges a run of tests: true when nothing failed but what is listed.
+ * Evaluates a run of tests and prints the result; true if no test failed but listed ones.
  *
  * @param exitCode Exit code of the test runner.
  * @param failed Names of the tests that failed.
  */
-export function judgeRun(exitCode, failed, knownRed) {
+export function evaluateRun(exitCode, failed, knownRed) {
   const unexpected = failed.filter((name) => !knownRed.has(name));
   for (const name of failed.filter((candidate) => knownRed.has(candidate))) {
     process.stdout.write(`known red: ${name}\n`);
@@ -42,6 +42,6 @@
   if (exitCode === 0) {
     return true;
   }
-  // A runner that failed without naming a test crashed, which no list excuses.
+  // A runner that failed without naming a test has crashed, which the list never excuses.
   return failed.length > 0 && unexpected.length === 0;
 }
--- a/scripts/pages.mjs
+++ b/scripts/pages.mjs
@@ -1,5 +1,5 @@
 /**
- * Writes the pages that are made from code. Runs after the build.
+ * Generates the pages whose contents come from the code. Runs after the build.
  */
 
 import * as fs from "node:fs";
--- a/scripts/report.mjs
+++ b/scripts/report.mjs
@@ -1,5 +1,5 @@
 /**
- * `npm run report`: builds, then draws measured results.
+ * `npm run report`: builds, then renders measured results as charts.
  */
 
 import process from "node:process";
--- a/scripts/slopes.mjs
+++ b/scripts/slopes.mjs
@@ -1,5 +1,6 @@
 /**
- * `npm run slopes`: builds, then measures what control costs a VM by the size of the fleet.
+ * `npm run slopes`: builds, then measures the cost of the control plane for a VM by
+ * fleet size.
  */
 
 import process from "node:process";
--- a/scripts/soak.mjs
+++ b/scripts/soak.mjs
@@ -1,6 +1,6 @@
 /**
- * `npm run soak -- [--seed N] [--seeds N] [--minutes N]`: builds, then plays faults against the real
- * programs.
+ * `npm run soak -- [--seed N] [--seeds N] [--minutes N]`: builds, then runs the real program under
+ * injected faults.
  */
 
 import process from "node:process";
--- a/scripts/steps.mjs
+++ b/scripts/steps.mjs
@@ -1,5 +1,5 @@
 /**
- * Steps that the scripts have in common. Uses nothing but Node.js, since packages may be missing.
+ * Steps that the scripts share. Uses only Node.js, since packages may not be installed yet.
  */
 
 import * as childProcess from "node:child_process";
@@ -8,10 +8,10 @@
 import process from "node:process";
 import * as url from "node:url";
 
-/** The top folder of the repository. */
+/** Root folder of the repository. */
 export const root = path.dirname(path.dirname(url.fileURLToPath(import.meta.url)));
 
-/** Runs a command in the top folder; a failure ends the script with the command's exit code. */
+/** Runs a command in the root folder; a failure ends the script with the command's exit code. */
 export function run(command, commandArguments) {
   process.stdout.write(`> ${command} ${commandArguments.join(" ").slice(0, 120)}\n`);
   const result = childProcess.spawnSync(command, commandArguments, {
@@ -23,7 +23,7 @@
   }
 }
 
-/** Installs the packages of the lock file unless they are there. */
+/** Installs the packages of the lock file unless they are installed and up to date. */
 export function installIfMissing() {
   const installed = path.join(root, "node_modules", ".package-lock.json");
   const lock = path.join(root, "package-lock.json");
@@ -37,7 +37,7 @@
   run("npx", ["--no-install", tool, ...toolArguments]);
 }
 
-/** Lists the folders of all packages, relative to the top folder. */
+/** Lists the folders of all packages, relative to the root folder. */
 export function listPackages() {
   const names = fs.readdirSync(path.join(root, "packages")).sort();
   return [...names.map((name) => path.join("packages", name)), "platform"];
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -13,17 +13,17 @@
 /** Test files that run at once. Fixed, so that the load does not depend on the machine. */
 const TEST_CONCURRENCY = 4;
 
-/** A test file that has not ended by then counts as failed. The longest takes half a minute. */
+/** A test file that takes longer counts as failed. The longest one takes half a minute. */
 const TEST_TIMEOUT_MILLISECONDS = 150_000;
 
 function cleanOutputs() {
-  // Outputs of deleted sources would go on being tested, so every package is built from nothing.
+  // Compiled tests of deleted sources would still run, so every package is built from scratch.
   for (const name of steps.listPackages()) {
     fs.rmSync(path.join(steps.root, name, "dist"), { recursive: true, force: true });
   }
 }
 
-/** The environment without what the fuzzing command sets, so that seeds and runs are the fixed ones. */
+/** The environment without the fuzzing command's variables, so that seeds and runs are fixed. */
 function createTestEnvironment() {
   const { HEMLOCKWALK_SEED: _seed, HEMLOCKWALK_RUNS: _runs, ...environment } = process.env;
   return environment;
@@ -44,7 +44,7 @@
   ], { cwd: steps.root, stdio: "inherit", env: createTestEnvironment() });
   const failed = fs.readFileSync(failuresFile, "utf8").split("\n").filter((name) => name !== "");
   fs.rmSync(folder, { recursive: true });
-  return knownRed.judgeRun(result.status, failed, knownRed.listKnownRed(steps.root));
+  return knownRed.evaluateRun(result.status, failed, knownRed.listKnownRed(steps.root));
 }
 
 steps.installIfMissing();
