--- a/packages/claims/bench/claims_bench.ts
+++ b/packages/claims/bench/claims_bench.ts
@@ -123,7 +123,7 @@
       address: "127.0.0.1:0",
       secrets: { read: () => Promise.resolve(neverthrow.ok(["s".repeat(40)])) },
       counters: new fleet.PeerCounters(new kernel.Metrics()),
-      logger: new kernel.PartLogger(kernel.createSilentLogger(), "fleet"),
+      logger: new kernel.ComponentLogger(kernel.createSilentLogger(), "fleet"),
     });
     network.useDirectory({ findAddress: (vm) => addresses.get(vm), isLatest: () => true });
     return network;
--- a/packages/configuration/bench/full_size.ts
+++ b/packages/configuration/bench/full_size.ts
@@ -227,7 +227,7 @@
       `${((after.buffers - before.buffers) / MEGABYTE).toFixed(1)} MB buffers`,
   );
 
-  const logger = new kernel.PartLogger(kernel.createSilentLogger(), "bench");
+  const logger = new kernel.ComponentLogger(kernel.createSilentLogger(), "bench");
   const chain = new noteChain.NoteChain(logger, counting.createCounters(new kernel.Metrics()));
   await chain.offerBaseline(load.result(), "platform");
   const times: number[] = [];
--- a/packages/configuration/src/baseline_sources.ts
+++ b/packages/configuration/src/baseline_sources.ts
@@ -24,13 +24,13 @@
   readonly #chain: noteChain.NoteChain;
   readonly #reader: types.PlatformReader;
   readonly #counters: counting.ConfigurationCounters;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
 
   constructor(
     chain: noteChain.NoteChain,
     reader: types.PlatformReader,
     counters: counting.ConfigurationCounters,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
   ) {
     this.#chain = chain;
     this.#reader = reader;
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -22,7 +22,7 @@
 /** Holds the configuration in force and applies new release notes as they are published. */
 export class ReplicatedConfiguration implements types.ConfigurationService {
   readonly #services: kernel.Kernel;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #platform: types.PlatformReader;
   readonly #stopping = new AbortController();
   readonly #counters: counting.ConfigurationCounters;
@@ -36,7 +36,7 @@
   constructor(
     services: kernel.Kernel,
     platform: types.PlatformReader,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
   ) {
     this.#services = services;
     this.#platform = platform;
@@ -200,7 +200,7 @@
 export function registerConfiguration(
   services: kernel.Kernel,
   platform: types.PlatformReader,
-  logger: kernel.PartLogger,
+  logger: kernel.ComponentLogger,
 ): types.ConfigurationService {
   const service = new ReplicatedConfiguration(services, platform, logger);
   services.register<types.ConfigurationService>(CONFIGURATION, service);
--- a/packages/configuration/src/note_chain.ts
+++ b/packages/configuration/src/note_chain.ts
@@ -31,14 +31,14 @@
   readonly tail = new noteTail.NoteTail();
   readonly refused = new refusedNotes.RefusedNotes();
   readonly forks = new forkRegister.ForkRegister();
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #counters: counting.ConfigurationCounters;
   readonly #listeners: AcceptanceListener[] = [];
   #snapshot: snapshots.TableSnapshot | undefined;
   #highestReported = 0;
   #running: Promise<unknown> = Promise.resolve();
 
-  constructor(logger: kernel.PartLogger, counters: counting.ConfigurationCounters) {
+  constructor(logger: kernel.ComponentLogger, counters: counting.ConfigurationCounters) {
     this.#logger = logger;
     this.#counters = counters;
   }
--- a/packages/configuration/src/platform_follower.ts
+++ b/packages/configuration/src/platform_follower.ts
@@ -73,7 +73,7 @@
   readonly election: readerElection.ReaderElection;
   readonly contact: platformContact.PlatformContact;
   readonly counters: counting.ConfigurationCounters;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
 }
 
 /** Follows the platform for one VM. */
--- a/packages/configuration/src/vm_list.ts
+++ b/packages/configuration/src/vm_list.ts
@@ -42,7 +42,7 @@
   readonly reader: types.PlatformReader;
   readonly election: readerElection.ReaderElection;
   readonly counters: counting.ConfigurationCounters;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
   readonly relay: {
     readonly network: fleet.PeerNetwork;
     readonly caller: peerMessages.PeerCaller;
--- a/packages/configuration/test/fleet_world.ts
+++ b/packages/configuration/test/fleet_world.ts
@@ -72,7 +72,7 @@
     const service = configuration.registerConfiguration(
       services,
       this.platform.createReader(name),
-      new kernel.PartLogger(kernel.createSilentLogger(), "configuration"),
+      new kernel.ComponentLogger(kernel.createSilentLogger(), "configuration"),
     );
     const changes: configuration.SnapshotChange[] = [];
     service.onChange((change) => changes.push(change));
--- a/packages/configuration/test/relay_test.ts
+++ b/packages/configuration/test/relay_test.ts
@@ -163,7 +163,7 @@
         (snapshot, text) => configuration.applyNoteText(snapshot, text)._unsafeUnwrap(),
         undefined,
       );
-    const logger = new kernel.PartLogger(kernel.createSilentLogger(), "configuration");
+    const logger = new kernel.ComponentLogger(kernel.createSilentLogger(), "configuration");
     const counters = counting.createCounters(new kernel.Metrics());
     const noteChain = new noteChains.NoteChain(logger, counters);
     const older = load(first);
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -51,7 +51,7 @@
   async run({ args }) {
     const settings = readSettings(args.settings);
     const logger = kernel.createRootLogger(settings.vm, settings.log.level);
-    const daemonLogger = new kernel.PartLogger(logger, "daemon");
+    const daemonLogger = new kernel.ComponentLogger(logger, "daemon");
     const services = virtualMachine.createVirtualMachine(settings, logger);
     await services.start();
     daemonLogger.info("Daemon started.", { listener: settings.listener.address });
--- a/packages/daemon/src/virtual_machine.ts
+++ b/packages/daemon/src/virtual_machine.ts
@@ -19,12 +19,12 @@
     self: fleet.VmIdentity,
     options: fleet.PeerNetworkOptions,
   ): fleet.WebSocketPeerNetwork;
-  createRateLimiter(services: kernel.Kernel, logger: kernel.PartLogger): limits.RateLimiter;
+  createRateLimiter(services: kernel.Kernel, logger: kernel.ComponentLogger): limits.RateLimiter;
   createFairQueue(services: kernel.Kernel): limits.FairQueue;
   createTargetPool(
     services: kernel.Kernel,
     settings: model.Settings,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
   ): targets.TargetPool;
 }
 
@@ -42,7 +42,7 @@
   replacedFactories: Partial<VirtualMachineParts> = {},
 ): kernel.Kernel {
   const factories = { ...DEFAULT_FACTORIES, ...replacedFactories };
-  const createLogger = (part: string) => new kernel.PartLogger(logger, part);
+  const createLogger = (part: string) => new kernel.ComponentLogger(logger, part);
   const services = new kernel.Kernel();
   services.register(kernel.METRICS, new kernel.Metrics());
   services.register(kernel.PAUSE_DETECTOR, new kernel.PauseDetector());
@@ -83,7 +83,7 @@
   services: kernel.Kernel,
   settings: model.Settings,
   factories: VirtualMachineParts,
-  logger: kernel.PartLogger,
+  logger: kernel.ComponentLogger,
 ): fleet.WebSocketPeerNetwork | undefined {
   if (settings.peers === undefined) {
     return undefined;
@@ -102,7 +102,7 @@
   services: kernel.Kernel,
   settings: model.Settings,
   network: fleet.WebSocketPeerNetwork | undefined,
-  logger: kernel.PartLogger,
+  logger: kernel.ComponentLogger,
 ): fleet.GossipMembership | undefined {
   if (network === undefined || settings.peers === undefined) {
     const sole = new fleet.SoleMembership(createIdentity(settings), settings.listener.address);
--- a/packages/declarations/src/declaration_store.ts
+++ b/packages/declarations/src/declaration_store.ts
@@ -27,7 +27,7 @@
   }
 
   /** Whether requests must carry a key unless their route is public. */
-  get hasKeys(): boolean {
+  get requiresKeys(): boolean {
     return this.declarations.workspaces.length > 0;
   }
 
--- a/packages/declarations/src/target_directory.ts
+++ b/packages/declarations/src/target_directory.ts
@@ -59,7 +59,7 @@
   }
 
   /** Monotonic time, in milliseconds, at which the latest change of a target was applied. */
-  getTakenAt(id: model.TargetId): number | undefined {
+  getAppliedAt(id: model.TargetId): number | undefined {
     return this.#appliedChanges.get(id)?.appliedAt;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Digest that is equal on VMs that hold the same changes; 0 without changes. */
-  getMark(): number {
+  getDigest(): number {
     let digest = 0;
     for (const { change } of this.#appliedChanges.values()) {
       let hash = change.revision >>> 0;
@@ -103,7 +103,7 @@
   }
 
   /** Discards tombstones that are older than any message's delay. */
-  discardMarkers(): void {
+  discardTombstones(): void {
     const oldest = kernel.getMonotonicMilliseconds() - TOMBSTONE_RETENTION_MILLISECONDS;
     for (const [id, applied] of this.#appliedChanges) {
       if (applied.change.entry === undefined && applied.appliedAt < oldest) {
--- a/packages/declarations/src/testing/mod.ts
+++ b/packages/declarations/src/testing/mod.ts
@@ -66,6 +66,6 @@
 }
 
 /** Creates the change that removes a target. */
-export function createGone(id: string, revision: number): declarations.TargetChange {
+export function createRemoval(id: string, revision: number): declarations.TargetChange {
   return { ...createChange(id, revision), entry: undefined };
 }
--- a/packages/declarations/test/declarations_test.ts
+++ b/packages/declarations/test/declarations_test.ts
@@ -48,14 +48,14 @@
     directory.apply(fixtures.createChange("a", 1));
     directory.apply(fixtures.createChange("b", 2));
     directory.apply(fixtures.createChange("a", 3, { isDraining: true }));
-    directory.apply(fixtures.createGone("b", 4));
+    directory.apply(fixtures.createRemoval("b", 4));
     assert.deepEqual(directory.listServing(DESK), []);
     assert.equal(directory.find(model.createTargetId("a"))?.isDraining, true);
   });
 
   test.test("an older change does not restore a removed target", () => {
     const directory = new declarations.TargetDirectory();
-    directory.apply(fixtures.createGone("a", 9));
+    directory.apply(fixtures.createRemoval("a", 9));
     assert.equal(directory.apply(fixtures.createChange("a", 8)), false);
     assert.equal(directory.find(model.createTargetId("a")), undefined);
   });
@@ -82,7 +82,7 @@
         (entries, order) => {
           const changes = entries.map((entry) =>
             entry.isGone
-              ? fixtures.createGone(entry.id, entry.revision)
+              ? fixtures.createRemoval(entry.id, entry.revision)
               : fixtures.createChange(entry.id, entry.revision)
           );
           const inOrder = new declarations.TargetDirectory();
--- a/packages/fleet/bench/links_bench.ts
+++ b/packages/fleet/bench/links_bench.ts
@@ -32,7 +32,7 @@
     address: "127.0.0.1:0",
     secrets: { read: () => Promise.resolve(neverthrow.ok(["s".repeat(40)])) },
     counters: new fleet.PeerCounters(metrics),
-    logger: new kernel.PartLogger(kernel.createSilentLogger(), "peers"),
+    logger: new kernel.ComponentLogger(kernel.createSilentLogger(), "peers"),
   });
   return { metrics, network, membership: undefined };
 }
@@ -65,7 +65,7 @@
       seeds,
       pauses: { lastResumeMilliseconds: Number.NEGATIVE_INFINITY },
       counters: new fleet.MembershipCounters(vm.metrics),
-      logger: new kernel.PartLogger(kernel.createSilentLogger(), "membership"),
+      logger: new kernel.ComponentLogger(kernel.createSilentLogger(), "membership"),
     });
     vm.network.useDirectory(vm.membership);
     vm.membership.start();
--- a/packages/fleet/src/gossip_membership.ts
+++ b/packages/fleet/src/gossip_membership.ts
@@ -47,7 +47,7 @@
   readonly list?: types.VmListSource | undefined;
   readonly pauses: PauseSource;
   readonly counters: membershipCounters.MembershipCounters;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
 }
 
 /** The task that sends heartbeats to one neighbour. */
--- a/packages/fleet/src/web_socket_peer_network.ts
+++ b/packages/fleet/src/web_socket_peer_network.ts
@@ -49,7 +49,7 @@
   readonly address: string;
   readonly secrets: secrets.PeerSecretSource;
   readonly counters: counters.PeerCounters;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
 }
 
 interface Peer {
--- a/packages/fleet/test/simulated_fleet.ts
+++ b/packages/fleet/test/simulated_fleet.ts
@@ -54,7 +54,7 @@
       list: this.list,
       pauses: this.pauses,
       counters: new fleet.MembershipCounters(this.metrics),
-      logger: new kernel.PartLogger(kernel.createSilentLogger(), "fleet"),
+      logger: new kernel.ComponentLogger(kernel.createSilentLogger(), "fleet"),
     });
   }
 
--- a/packages/fleet/test/web_socket_peer_network_test.ts
+++ b/packages/fleet/test/web_socket_peer_network_test.ts
@@ -83,7 +83,7 @@
       address: "127.0.0.1:0",
       secrets: { read: () => Promise.resolve(neverthrow.ok([secret])) },
       counters: new fleet.PeerCounters(this.metrics),
-      logger: new kernel.PartLogger(kernel.createSilentLogger(), "fleet"),
+      logger: new kernel.ComponentLogger(kernel.createSilentLogger(), "fleet"),
     });
     this.network.useDirectory({
       findAddress: (vm) => this.addresses.get(vm),
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -18,7 +18,7 @@
 export class Gateway implements kernel.Service {
   readonly #services: kernel.Kernel;
   readonly #settings: model.ListenerSettings;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #meters: meters.GatewayMeters;
   readonly #running = new running.RunningRequests();
   readonly #listener: listeners.Listener;
@@ -33,7 +33,7 @@
   constructor(
     services: kernel.Kernel,
     settings: model.ListenerSettings,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
   ) {
     this.#services = services;
     this.#settings = settings;
--- a/packages/gateway/src/listener.ts
+++ b/packages/gateway/src/listener.ts
@@ -47,7 +47,7 @@
     handler: RequestListener,
     runningRequests: running.RunningRequests,
     gatewayMeters: meters.GatewayMeters,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
   ) {
     this.#settings = settings;
     this.#running = runningRequests;
--- a/packages/gateway/src/request_handler.ts
+++ b/packages/gateway/src/request_handler.ts
@@ -43,7 +43,7 @@
   readonly running: running.RunningRequests;
   readonly meters: meters.GatewayMeters;
   readonly settings: model.ListenerSettings;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
 }
 
 /** Handles callers' requests. */
--- a/packages/gateway/src/tls_files.ts
+++ b/packages/gateway/src/tls_files.ts
@@ -54,14 +54,14 @@
 export class TlsFileWatcher {
   readonly #paths: TlsFilePaths;
   readonly #server: https.Server;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #meters: meters.GatewayMeters;
   readonly #onChange = () => this.reload();
 
   constructor(
     paths: TlsFilePaths,
     server: https.Server,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
     gatewayMeters: meters.GatewayMeters,
   ) {
     this.#paths = paths;
--- a/packages/gateway/test/harness.ts
+++ b/packages/gateway/test/harness.ts
@@ -138,14 +138,14 @@
       },
       configuration: fake,
       metrics,
-      logger: new kernel.PartLogger(kernel.createSilentLogger(), "targets"),
+      logger: new kernel.ComponentLogger(kernel.createSilentLogger(), "targets"),
     }, { strategy: new targets.RoundRobinStrategy(), detection: false }),
   );
   if (declaration.claimStore !== undefined) {
     services.register(claims.CLAIM_STORE, declaration.claimStore);
   }
   const settings = createListenerSettings(declaration.listener ?? {});
-  const logger = new kernel.PartLogger(kernel.createSilentLogger(), "gateway");
+  const logger = new kernel.ComponentLogger(kernel.createSilentLogger(), "gateway");
   const server = services.register(
     gateway.GATEWAY,
     new gateway.Gateway(services, settings, logger),
--- a/packages/kernel/src/log_messages.ts
+++ b/packages/kernel/src/log_messages.ts
@@ -42,13 +42,13 @@
     fields: { running: "Requests that were still running and are aborted." },
   },
   stopped: { code: 1004, level: "info", text: "Stopped.", fields: {} },
-  settingsReread: {
+  settingsReloaded: {
     code: 1101,
     level: "info",
     text: "The settings were reloaded.",
     fields: { seeds: "Addresses of the seed VMs, through which this VM discovers the others." },
   },
-  settingsRefused: {
+  settingsRejected: {
     code: 1102,
     level: "error",
     text: "The new settings are invalid; the current settings remain in effect.",
@@ -66,7 +66,7 @@
     text: "An unexpected error was caught.",
     fields: { error: "The error and where it was thrown." },
   },
-  versionTaken: {
+  declarationsApplied: {
     code: 2001,
     level: "info",
     text: "Declarations were applied.",
@@ -75,13 +75,13 @@
       from: "Source of the declarations: `store`, or `peer` for another VM.",
     },
   },
-  versionRefused: {
+  declarationsRejected: {
     code: 2002,
     level: "error",
     text: "The published declarations are invalid; the current declarations remain in effect.",
     fields: { revision: "Revision of the store.", error: "What is wrong with the declarations." },
   },
-  storeSilent: {
+  storeUnavailable: {
     code: 2101,
     level: "warn",
     text: "The store is unavailable.",
@@ -90,7 +90,7 @@
       asOf: "Latest revision that this VM has read.",
     },
   },
-  storeAnswers: {
+  storeAvailable: {
     code: 2102,
     level: "info",
     text: "The store is available again.",
@@ -122,13 +122,13 @@
       from: "Source of the change: `store`, or `peer` for another VM.",
     },
   },
-  entryUnusable: {
+  invalidTargetEntry: {
     code: 4002,
     level: "warn",
     text: "A target entry of the store is invalid.",
     fields: { target: "Identifier of the entry.", error: "What is wrong with it." },
   },
-  targetDoubted: {
+  targetSuspected: {
     code: 4101,
     level: "info",
     text: "A target is suspected.",
@@ -139,7 +139,7 @@
       cause: "Outcome of a call of this VM, or `told` for reports from other VMs.",
     },
   },
-  targetTrusted: {
+  targetRecovered: {
     code: 4102,
     level: "info",
     text: "A target has recovered.",
@@ -159,7 +159,7 @@
       timeoutMilliseconds: "Time after which the connection attempt was aborted.",
     },
   },
-  targetReached: {
+  targetReachable: {
     code: 4202,
     level: "info",
     text: "A target is reachable again.",
@@ -182,7 +182,7 @@
     text: "Stories of requests were left out.",
     fields: { count: "Requests that were not logged, to limit the volume of the log." },
   },
-  requestBroken: {
+  unexpectedRequestError: {
     code: 5901,
     level: "error",
     text: "A request failed unexpectedly.",
@@ -191,7 +191,7 @@
 } as const satisfies Record<string, LogMessage>;
 
 /** The steps of a request trace: decisions about the request with their inputs. */
-export const StorySteps = {
+export const TraceSteps = {
   accepted: {
     route: "Route of the request.",
     service: "Service that was selected by the weights of the route.",
--- a/packages/kernel/src/log_page.ts
+++ b/packages/kernel/src/log_page.ts
@@ -11,7 +11,7 @@
       formatFields(message.fields)
     }`
   );
-  const steps = Object.entries(messages.StorySteps).map(([step, inputs]) =>
+  const steps = Object.entries(messages.TraceSteps).map(([step, inputs]) =>
     `## \`${step}\`${formatFields(inputs)}`
   );
   return [
--- a/packages/kernel/src/logging.ts
+++ b/packages/kernel/src/logging.ts
@@ -34,7 +34,7 @@
 }
 
 /** Logger of one component, which prefixes each message with the name of the component. */
-export class PartLogger {
+export class ComponentLogger {
   readonly #logger: bunyan;
   readonly #prefix: string;
 
--- a/packages/kernel/src/testing/loopback.ts
+++ b/packages/kernel/src/testing/loopback.ts
@@ -39,7 +39,7 @@
 }
 
 /** Claims an address on which nothing listens. */
-export async function claimDeadAddress(): Promise<string> {
+export async function claimUnusedAddress(): Promise<string> {
   return `127.0.0.1:${await claimPort()}`;
 }
 
--- a/packages/kernel/test/log_messages_test.ts
+++ b/packages/kernel/test/log_messages_test.ts
@@ -21,7 +21,10 @@
 test.test("a line has the number, the component and the fields of its message", () => {
   const lines: string[] = [];
   const output = { write: (line: string) => lines.push(line) } as unknown as NodeJS.WritableStream;
-  const logger = new kernel.PartLogger(kernel.createOutputLogger("vm-1", "info", output), "mesh");
+  const logger = new kernel.ComponentLogger(
+    kernel.createOutputLogger("vm-1", "info", output),
+    "mesh",
+  );
   logger.write(kernel.LogMessages.linkLost, { peer: "vm-2", role: "bridge" });
   logger.write(kernel.LogMessages.targetChanged, { target: "desk-1" });
   const [line] = lines.map((text) => JSON.parse(text) as Record<string, unknown>);
--- a/packages/limits/src/create_rate_limiter.ts
+++ b/packages/limits/src/create_rate_limiter.ts
@@ -19,7 +19,7 @@
  */
 export function createRateLimiter(
   services: kernel.Kernel,
-  logger: kernel.PartLogger,
+  logger: kernel.ComponentLogger,
 ): types.RateLimiter {
   const configurationService = services.get(configuration.CONFIGURATION);
   const network = services.find(fleet.PEER_NETWORK);
--- a/packages/limits/src/escrow_limiter.ts
+++ b/packages/limits/src/escrow_limiter.ts
@@ -27,7 +27,7 @@
   readonly network: fleet.PeerNetwork;
   readonly membership: fleet.Membership;
   readonly metrics: kernel.Metrics;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
 }
 
 /** Options for tests and benchmarks. */
--- a/packages/limits/src/lease_exchange.ts
+++ b/packages/limits/src/lease_exchange.ts
@@ -23,7 +23,7 @@
   readonly coordinator: coordinators.Coordinator;
   readonly recentConfigurations: policies.RecentConfigurations;
   readonly metrics: limiterMetrics.LimiterMetrics;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
   readonly margins: safety.SafetyMargins;
   readonly now: () => number;
 }
@@ -57,7 +57,7 @@
   readonly #coordinator: coordinators.Coordinator;
   readonly #recentConfigurations: policies.RecentConfigurations;
   readonly #metrics: limiterMetrics.LimiterMetrics;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #now: () => number;
   readonly #owners: shards.ShardOwners;
   readonly #voter: voters.Voter;
--- a/packages/limits/test/fleet_harness.ts
+++ b/packages/limits/test/fleet_harness.ts
@@ -244,7 +244,7 @@
       network: this.#connect(identity, process),
       membership,
       metrics,
-      logger: new kernel.PartLogger(kernel.createSilentLogger(), "limits"),
+      logger: new kernel.ComponentLogger(kernel.createSilentLogger(), "limits"),
     };
     const limiter = this.#options.createLimiter?.(parts) ?? new limits.EscrowLimiter(parts, {
       ...(this.#options.margins === undefined ? {} : { margins: this.#options.margins }),
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -72,7 +72,7 @@
   readonly self: types.MemberIdentity;
   /** Returns addresses of some VMs, which may be out of date. Called for each round of dials. */
   readonly listSeeds: () => readonly string[];
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
 }
 
 /** The links of this VM and the messages that are sent over them. */
@@ -103,7 +103,7 @@
     this.self = options.self;
     this.#table = new members.MemberTable(options.self);
     this.#requests = new requests.SnapshotRequests(this.#states, this.#links, this.self.dataCentre);
-    this.addFeed(MEMBERS_STATE, {
+    this.addReplicatedState(MEMBERS_STATE, {
       createSnapshot: () => [],
       receive: (payload) => {
         const added = (payload as types.MemberIdentity[]).map((member) =>
@@ -120,7 +120,7 @@
   }
 
   /** Monotonic time of the latest response of the store to any VM, as far as known here. */
-  get confirmedAt(): number {
+  get lastStoreResponseAt(): number {
     return this.#lastStoreResponseAt;
   }
 
@@ -130,7 +130,7 @@
   }
 
   /** Whether this VM lacks a snapshot that another VM holds. */
-  get isAwaitingFeeds(): boolean {
+  get isAwaitingSnapshots(): boolean {
     return this.#requests.isPending;
   }
 
@@ -150,12 +150,12 @@
     this.#sections.set(name, section);
   }
 
-  addFeed(name: string, state: types.ReplicatedState): void {
+  addReplicatedState(name: string, state: types.ReplicatedState): void {
     this.#states.set(name, state);
   }
 
   /** Records that the store has just responded to this VM. */
-  confirm(): void {
+  recordStoreResponse(): void {
     this.#lastStoreResponseAt = kernel.getMonotonicMilliseconds();
   }
 
@@ -165,12 +165,12 @@
   }
 
   /** Time within which a change that is not urgent reaches all VMs, in milliseconds. */
-  get newsMilliseconds(): number {
+  get propagationMilliseconds(): number {
     return this.#getUpdateInterval() + RELAY_TICKS * TICK_MILLISECONDS;
   }
 
   /** Sends the next report as an urgent one, without waiting for the tick. */
-  hurry(): void {
+  reportSoon(): void {
     this.#urgentTimer ??= setTimeout(() => {
       this.#urgentTimer = undefined;
       this.#report(true);
@@ -454,9 +454,9 @@
     if (!isNew) {
       return;
     }
-    if (message.isWhole === true && state?.marks !== undefined) {
+    if (message.isWhole === true && state?.digest !== undefined) {
       // Most other VMs already hold this state, so they are sent only its digest.
-      this.#forward({ kind: "marks", marks: { [message.feed]: state.marks.get() } }, link);
+      this.#forward({ kind: "marks", marks: { [message.feed]: state.digest.get() } }, link);
     } else {
       this.#forward(message, link);
     }
@@ -495,10 +495,10 @@
     const snapshots: Record<string, unknown> = {};
     const digests: Record<string, number> = {};
     for (const [name, state] of this.#states) {
-      if (state.marks === undefined) {
+      if (state.digest === undefined) {
         snapshots[name] = state.createSnapshot();
       } else {
-        digests[name] = state.marks.get();
+        digests[name] = state.digest.get();
       }
     }
     link.hasSentHello = true;
--- a/packages/mesh/src/snapshot_requests.ts
+++ b/packages/mesh/src/snapshot_requests.ts
@@ -48,7 +48,7 @@
 
   /** Compares the digests received on all links and requests the missing snapshots. */
   advance(): void {
-    for (const [name, { marks: ownDigest }] of this.#states) {
+    for (const [name, { digest: ownDigest }] of this.#states) {
       if (ownDigest !== undefined) {
         this.#advanceState(name, ownDigest);
       }
--- a/packages/mesh/src/types.ts
+++ b/packages/mesh/src/types.ts
@@ -60,7 +60,7 @@
 /** State that is replicated to all VMs and that any VM may update. */
 export interface ReplicatedState {
   /** With a digest, snapshots are sent only on request; without one, on each new link. */
-  readonly marks?: StateDigest;
+  readonly digest?: StateDigest;
   /** Returns the complete state, for a VM that has none of it. */
   createSnapshot(): unknown;
   /** Applies an update or a snapshot; returns whether any of it was new and is to be forwarded. */
--- a/packages/mesh/test/mesh_test.ts
+++ b/packages/mesh/test/mesh_test.ts
@@ -55,7 +55,7 @@
         capacity,
       },
       listSeeds: () => seeds,
-      logger: new kernel.PartLogger(kernel.createSilentLogger(), "mesh"),
+      logger: new kernel.ComponentLogger(kernel.createSilentLogger(), "mesh"),
     }),
   };
   vm.mesh.addSection("values", {
@@ -66,7 +66,7 @@
     },
     receive: (from, payload) => received.set(from.vm, payload),
   });
-  vm.mesh.addFeed("words", {
+  vm.mesh.addReplicatedState("words", {
     createSnapshot: () => [...knownWords],
     receive: (payload) => {
       const words = payload as string[];
@@ -75,8 +75,8 @@
       return isNew;
     },
   });
-  vm.mesh.addFeed("versions", {
-    marks: { get: () => versions.latest, isBehind: (other) => other > versions.latest },
+  vm.mesh.addReplicatedState("versions", {
+    digest: { get: () => versions.latest, isBehind: (other) => other > versions.latest },
     createSnapshot: () => {
       versions.snapshotsSent++;
       return versions.latest;
@@ -197,7 +197,7 @@
       const late = await createVm("vm-late", "south", port, seeds);
       try {
         await waitFor(() => late.versions.latest === 7, "the version at the VM that joined later");
-        assert.equal(late.mesh.isAwaitingFeeds, false);
+        assert.equal(late.mesh.isAwaitingSnapshots, false);
         // Long enough for any other VM to be asked too.
         await kernel.sleep(500);
         const sent = fleet.reduce((sum, vm) => sum + vm.versions.snapshotsSent, 0) - before;
@@ -323,7 +323,7 @@
       for (let value = 0; performance.now() < endsAt; value++) {
         for (const vm of others) {
           vm.value = `urgent ${value}`;
-          vm.mesh.hurry();
+          vm.mesh.reportSoon();
         }
         await kernel.sleep(2);
       }
@@ -350,11 +350,11 @@
 
   test.test("the age of the store's latest response reaches all VMs", async () => {
     await withFleet(async (fleet) => {
-      fleet[4]?.mesh.confirm();
+      fleet[4]?.mesh.recordStoreResponse();
       await waitFor(
         () =>
           fleet.every((vm) =>
-            performance.now() - vm.mesh.confirmedAt < PROPAGATION_TIMEOUT_MILLISECONDS
+            performance.now() - vm.mesh.lastStoreResponseAt < PROPAGATION_TIMEOUT_MILLISECONDS
           ),
         "the response of the store",
       );
--- a/packages/proxy/src/admission.ts
+++ b/packages/proxy/src/admission.ts
@@ -50,7 +50,7 @@
     return refuseUnknown(context, trace, { status: 404, reason: "unknown_route" });
   }
   let workspace: declarations.DeclaredWorkspace | undefined;
-  if (view.hasKeys && !route.isPublic) {
+  if (view.requiresKeys && !route.isPublic) {
     const key = headers.findKey(request, profile);
     workspace = key === undefined ? undefined : view.findWorkspace(key);
     if (workspace === undefined) {
--- a/packages/proxy/src/budgets.ts
+++ b/packages/proxy/src/budgets.ts
@@ -98,7 +98,7 @@
       collect: () => this.#collectRequests(),
       receive: (from, payload) => this.#receiveRequests(from, payload),
     });
-    vmMesh.addFeed("levels", {
+    vmMesh.addReplicatedState("levels", {
       createSnapshot: () => this.#createLevels(),
       receive: (payload) => this.#adoptLevels(payload as LevelTables),
     });
@@ -163,7 +163,7 @@
     }
     const isTaken = bucket.take();
     if (bucket.isUrgent) {
-      this.#mesh.hurry();
+      this.#mesh.reportSoon();
     }
     return isTaken;
   }
@@ -281,7 +281,7 @@
     return {
       present,
       expected: isSizeUnknown ? ASSUMED_FLEET_SIZE : expected,
-      propagationMilliseconds: this.#mesh.newsMilliseconds,
+      propagationMilliseconds: this.#mesh.propagationMilliseconds,
     };
   }
 
--- a/packages/proxy/src/listener.ts
+++ b/packages/proxy/src/listener.ts
@@ -35,7 +35,7 @@
   readonly bounds: types.ProxyBounds;
   readonly store: declarations.DeclarationStore;
   readonly createContext: (isStopping: () => boolean) => contexts.RequestContext;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
 }
 
 /** Accepts callers' connections and passes their requests to handlers. */
@@ -108,7 +108,7 @@
     this.#running.set(socket, running);
     this.#runningCount++;
     handler.run().catch((error: unknown) => {
-      this.#options.logger.write(kernel.LogMessages.requestBroken, {
+      this.#options.logger.write(kernel.LogMessages.unexpectedRequestError, {
         error: error instanceof Error ? error.stack : String(error),
       });
       response.destroy();
--- a/packages/proxy/src/proxy_vm.ts
+++ b/packages/proxy/src/proxy_vm.ts
@@ -51,7 +51,7 @@
 export function createProxyVm(options: ProxyVmOptions): ProxyVm {
   const vm = new kernel.Kernel();
   const metrics = vm.register(kernel.METRICS, new kernel.Metrics());
-  const createLogger = (part: string) => new kernel.PartLogger(options.rootLogger, part);
+  const createLogger = (part: string) => new kernel.ComponentLogger(options.rootLogger, part);
   const vmMesh = vm.register(
     MESH,
     new mesh.Mesh({
@@ -103,7 +103,7 @@
           "hemlockwalk_request_seconds",
           "Time from the arrival of a request to its final response.",
         ),
-        getConfirmedAt: () => vmMesh.confirmedAt,
+        getConfirmedAt: () => vmMesh.lastStoreResponseAt,
         isStopping,
         startGate,
       }),
@@ -130,7 +130,7 @@
     start() {
       timer = setInterval(() => {
         tracker.dropDepartedVms();
-        directory.discardMarkers();
+        directory.discardTombstones();
       }, HOUSEKEEPING_INTERVAL_MILLISECONDS);
     },
     stop() {
--- a/packages/proxy/src/publisher.ts
+++ b/packages/proxy/src/publisher.ts
@@ -15,20 +15,20 @@
   readonly #store: declarations.DeclarationStore;
   readonly #directory: declarations.TargetDirectory;
   readonly #mesh: mesh.Mesh;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
 
   constructor(
     store: declarations.DeclarationStore,
     directory: declarations.TargetDirectory,
     vmMesh: mesh.Mesh,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
   ) {
     this.#store = store;
     this.#directory = directory;
     this.#mesh = vmMesh;
     this.#logger = logger;
-    vmMesh.addFeed(DECLARATIONS_STATE, {
-      marks: {
+    vmMesh.addReplicatedState(DECLARATIONS_STATE, {
+      digest: {
         get: () => store.current?.declarations.version ?? 0,
         isBehind: (other) => other > (store.current?.declarations.version ?? 0),
       },
@@ -36,12 +36,12 @@
       receive: (payload) =>
         this.#applyDeclarations(payload as declarations.Declarations | undefined, "peer"),
     });
-    vmMesh.addFeed(TARGETS_STATE, {
-      marks: {
-        get: () => directory.getMark(),
+    vmMesh.addReplicatedState(TARGETS_STATE, {
+      digest: {
+        get: () => directory.getDigest(),
         // The digest only shows that the two states differ. If the other VM's state is older, none
         // of its changes is applied.
-        isBehind: (other) => other !== 0 && other !== directory.getMark(),
+        isBehind: (other) => other !== 0 && other !== directory.getDigest(),
       },
       createSnapshot: () => directory.listChanges(),
       receive: (payload) => this.#applyChanges(payload as declarations.TargetChange[], "peer"),
@@ -84,7 +84,7 @@
     if (read === undefined || read === null || !this.#store.apply(read)) {
       return false;
     }
-    this.#logger.write(kernel.LogMessages.versionTaken, { version: read.version, from });
+    this.#logger.write(kernel.LogMessages.declarationsApplied, { version: read.version, from });
     return true;
   }
 
--- a/packages/proxy/src/reachability.ts
+++ b/packages/proxy/src/reachability.ts
@@ -42,13 +42,13 @@
 /** Tracks the connect times and connection tests of one VM. */
 export class Reachability implements kernel.Service {
   readonly #findAddress: (target: model.TargetId) => string | undefined;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #connectTimes = new Map<model.TargetId, number>();
   readonly #tests = new Map<model.TargetId, ConnectionTest>();
 
   constructor(
     findAddress: (target: model.TargetId) => string | undefined,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
   ) {
     this.#findAddress = findAddress;
     this.#logger = logger;
@@ -139,7 +139,10 @@
     socket.once("connect", () => {
       finish();
       if (this.#tests.get(target) === test) {
-        this.#logger.write(kernel.LogMessages.targetReached, { target, tests: test.failures + 1 });
+        this.#logger.write(kernel.LogMessages.targetReachable, {
+          target,
+          tests: test.failures + 1,
+        });
         this.recordConnected(target, kernel.getMonotonicMilliseconds() - startedAt);
       }
     });
--- a/packages/proxy/src/request_log.ts
+++ b/packages/proxy/src/request_log.ts
@@ -22,11 +22,11 @@
   readonly [input: string]: string | number | boolean | undefined;
 }
 
-type StepName = keyof typeof kernel.StorySteps;
+type StepName = keyof typeof kernel.TraceSteps;
 
 /** Inputs of a step, under the names that the operators' page documents. */
 type StepInputs<Name extends StepName> = {
-  readonly [Input in keyof (typeof kernel.StorySteps)[Name]]?:
+  readonly [Input in keyof (typeof kernel.TraceSteps)[Name]]?:
     | string
     | number
     | boolean
@@ -55,13 +55,13 @@
 
 /** Writes traces within the allowance. */
 export class RequestLog {
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   #failedLeft = FAILED_LINES_PER_SECOND;
   #othersLeft = OTHER_LINES_PER_SECOND;
   #omitted = 0;
   #windowStart = kernel.getMonotonicMilliseconds();
 
-  constructor(logger: kernel.PartLogger) {
+  constructor(logger: kernel.ComponentLogger) {
     this.#logger = logger;
   }
 
--- a/packages/proxy/src/store_follower.ts
+++ b/packages/proxy/src/store_follower.ts
@@ -69,7 +69,7 @@
   readonly #store: declarations.PublishedStore;
   readonly #mesh: mesh.Mesh;
   readonly #publisher: publishers.Publisher;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #isFirstStart: boolean;
   readonly #stopping = new AbortController();
   readonly #startedAt = kernel.getMonotonicMilliseconds();
@@ -83,7 +83,7 @@
     store: declarations.PublishedStore,
     vmMesh: mesh.Mesh,
     publisher: publishers.Publisher,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
     isFirstStart: boolean,
   ) {
     this.#isFirstStart = isFirstStart;
@@ -143,7 +143,7 @@
   async #waitForSnapshots(): Promise<void> {
     const endsAt = kernel.getMonotonicMilliseconds() + MAX_SNAPSHOT_WAIT_MILLISECONDS;
     while (
-      this.#publisher.isEmpty && this.#mesh.isAwaitingFeeds && !this.#stopping.signal.aborted &&
+      this.#publisher.isEmpty && this.#mesh.isAwaitingSnapshots && !this.#stopping.signal.aborted &&
       kernel.getMonotonicMilliseconds() < endsAt
     ) {
       await kernel.sleep(SNAPSHOT_POLL_MILLISECONDS, this.#stopping.signal);
@@ -163,7 +163,8 @@
 
   /** Time since the store's latest response to any VM, or since the start, in milliseconds. */
   #getConfirmationAge(): number {
-    return kernel.getMonotonicMilliseconds() - Math.max(this.#mesh.confirmedAt, this.#startedAt);
+    return kernel.getMonotonicMilliseconds() -
+      Math.max(this.#mesh.lastStoreResponseAt, this.#startedAt);
   }
 
   async #readOnce(): Promise<boolean> {
@@ -215,7 +216,7 @@
 
   #recordResponse(): void {
     if (!this.#isAvailable || this.#getConfirmationAge() > OUTAGE_MILLISECONDS) {
-      this.#logger.write(kernel.LogMessages.storeAnswers, {
+      this.#logger.write(kernel.LogMessages.storeAvailable, {
         silentMilliseconds: this.#getConfirmationAge(),
       });
     }
@@ -224,7 +225,7 @@
     }
     this.#isAvailable = true;
     this.#failures = 0;
-    this.#mesh.confirm();
+    this.#mesh.recordStoreResponse();
   }
 
   #recordFailure(failure: declarations.StoreFailure): void {
@@ -235,7 +236,7 @@
     this.#failures++;
     if (this.#isAvailable) {
       this.#isAvailable = false;
-      this.#logger.write(kernel.LogMessages.storeSilent, { failure, asOf: this.#asOf });
+      this.#logger.write(kernel.LogMessages.storeUnavailable, { failure, asOf: this.#asOf });
     }
   }
 
--- a/packages/proxy/src/target_tracker.ts
+++ b/packages/proxy/src/target_tracker.ts
@@ -59,7 +59,7 @@
 export class TargetTracker {
   readonly #directory: declarations.TargetDirectory;
   readonly #mesh: mesh.Mesh;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #records = new Map<model.TargetId, TargetRecord>();
   #unreportedOutcomes = new Map<model.TargetId, OutcomeTable>();
   #fullLoadsAt = Number.NEGATIVE_INFINITY;
@@ -70,7 +70,7 @@
   constructor(
     directory: declarations.TargetDirectory,
     vmMesh: mesh.Mesh,
-    logger: kernel.PartLogger,
+    logger: kernel.ComponentLogger,
   ) {
     this.#directory = directory;
     this.#mesh = vmMesh;
@@ -132,7 +132,7 @@
     });
     this.#unreportedOutcomes.set(target, table);
     if (URGENT_OUTCOMES.has(outcome)) {
-      this.#mesh.hurry();
+      this.#mesh.reportSoon();
     }
     this.#logChange(target, before, record.health.failureProbability, outcome);
   }
@@ -187,7 +187,7 @@
     const record = this.#getRecord(entry.id);
     const isFull = record.fullUntil > now;
     const load = record.ownLoad + record.othersLoad;
-    const knownFor = now - (this.#directory.getTakenAt(entry.id) ?? now);
+    const knownFor = now - (this.#directory.getAppliedAt(entry.id) ?? now);
     return {
       id: entry.id,
       slots: entry.slots,
@@ -301,7 +301,7 @@
     const wasSuspected = before > 0.5;
     const isSuspected = after > 0.5;
     if (wasSuspected !== isSuspected) {
-      const { targetDoubted, targetTrusted } = kernel.LogMessages;
+      const { targetSuspected: targetDoubted, targetRecovered: targetTrusted } = kernel.LogMessages;
       this.#logger.write(isSuspected ? targetDoubted : targetTrusted, {
         target,
         sicknessBefore: Number(before.toFixed(3)),
--- a/packages/proxy/test/harness.ts
+++ b/packages/proxy/test/harness.ts
@@ -261,7 +261,7 @@
       isFirstStart: true,
       rootLogger,
     });
-    const logger = new kernel.PartLogger(rootLogger, "store");
+    const logger = new kernel.ComponentLogger(rootLogger, "store");
     this.#vm.kernel.register(
       kernel.createServiceName<kernel.Service>("store-follower"),
       // As after a restart, so that the test does not wait for peers.
--- a/packages/proxy/test/parts_test.ts
+++ b/packages/proxy/test/parts_test.ts
@@ -14,8 +14,8 @@
 
 const TARGET = model.createTargetId("target");
 
-function createSilentLogger(): kernel.PartLogger {
-  return new kernel.PartLogger(kernel.createSilentLogger(), "test");
+function createSilentLogger(): kernel.ComponentLogger {
+  return new kernel.ComponentLogger(kernel.createSilentLogger(), "test");
 }
 
 test.test("a target that could not be reached is restored by a test connection, not by a request", async () => {
--- a/packages/proxy/test/request_trace_test.ts
+++ b/packages/proxy/test/request_trace_test.ts
@@ -72,7 +72,7 @@
       assert.equal(typeof steps[1]?.["sickness"], "number");
       assert.equal(steps[2]?.["status"], 500);
       const suspicions = vm.log.filter(({ code }) =>
-        code === kernel.LogMessages.targetDoubted.code
+        code === kernel.LogMessages.targetSuspected.code
       );
       assert.equal(suspicions.length, 1, "the change of the estimate is logged too");
     });
--- a/packages/targets/src/adaptive_pool.ts
+++ b/packages/targets/src/adaptive_pool.ts
@@ -26,7 +26,7 @@
   readonly self: fleet.VmIdentity;
   readonly configuration: configuration.ConfigurationService;
   readonly metrics: kernel.Metrics;
-  readonly logger: kernel.PartLogger;
+  readonly logger: kernel.ComponentLogger;
   readonly pauses?: types.PauseSource | undefined;
   /** Absent on a VM without peers, which evaluates targets by its own calls alone. */
   readonly network?: fleet.PeerNetwork | undefined;
--- a/packages/targets/src/create_target_pool.ts
+++ b/packages/targets/src/create_target_pool.ts
@@ -20,7 +20,7 @@
 export function createTargetPool(
   services: kernel.Kernel,
   settings: model.Settings,
-  logger: kernel.PartLogger,
+  logger: kernel.ComponentLogger,
 ): types.TargetPool {
   const network = services.find(fleet.PEER_NETWORK);
   const membership = services.find(fleet.MEMBERSHIP);
--- a/packages/targets/src/pool_metrics.ts
+++ b/packages/targets/src/pool_metrics.ts
@@ -29,10 +29,14 @@
   readonly noSlot;
   readonly trialRequests;
   readonly probes;
-  readonly #logger: kernel.PartLogger;
+  readonly #logger: kernel.ComponentLogger;
   readonly #getTargetName: GetTargetName;
 
-  constructor(metrics: kernel.Metrics, logger: kernel.PartLogger, getTargetName: GetTargetName) {
+  constructor(
+    metrics: kernel.Metrics,
+    logger: kernel.ComponentLogger,
+    getTargetName: GetTargetName,
+  ) {
     this.#logger = logger;
     this.#getTargetName = getTargetName;
     this.ejections = metrics.createCounter(
--- a/packages/targets/test/fixtures.ts
+++ b/packages/targets/test/fixtures.ts
@@ -90,6 +90,6 @@
 }
 
 /** A logger that writes nothing. */
-export function createLogger(): kernel.PartLogger {
-  return new kernel.PartLogger(kernel.createSilentLogger(), "targets");
+export function createLogger(): kernel.ComponentLogger {
+  return new kernel.ComponentLogger(kernel.createSilentLogger(), "targets");
 }
