--- a/packages/operator/bin/hemlockctl.mjs
+++ b/packages/operator/bin/hemlockctl.mjs
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * Starts the binary `hemlockctl`. It stands beside the compiled program, since npm links only what exists
- * when it installs.
+ * Entry point of the `hemlockctl` binary. It is not part of the compiled output, since npm links
+ * only files that exist at install time, and the build runs later.
  */
 
 import "../dist/src/main.js";
--- a/packages/operator/src/chain_folder.ts
+++ b/packages/operator/src/chain_folder.ts
@@ -1,5 +1,5 @@
 /**
- * The folder that holds a chain as it is published: one file for each value of the platform.
+ * The folder that holds a chain in its published form: one file for each value on the platform.
  *
  * `notes/7.json` holds the value of `notes/7`, `head.json` that of `head`, `baseline.json` that of
  * `baseline`, and `baselines/7/0.txt` that of `baselines/7/0`.
@@ -19,7 +19,7 @@
     this.folder = folder;
   }
 
-  /** The file of a value of the platform. */
+  /** Returns the file that holds the platform value with the given key. */
   getFile(key: string): string {
     const extension = key.startsWith("baselines/") ? "txt" : "json";
     return path.join(this.folder, `${key}.${extension}`);
@@ -29,8 +29,8 @@
     return this.getFile(configuration.getNoteKey(number));
   }
 
-  /** Numbers of the notes in the folder, ascending. */
-  listNumbers(): number[] {
+  /** Lists the numbers of the notes in the folder in ascending order. */
+  listNoteNumbers(): number[] {
     const folder = path.join(this.folder, "notes");
     if (!files.isFolder(folder)) {
       return [];
@@ -41,14 +41,14 @@
       .sort((left, right) => left - right);
   }
 
-  /** Writes the next note and the head that names it. */
+  /** Writes the next note and the head that refers to it. */
   writeNote(number: number, text: string): void {
     files.writeText(this.getNoteFile(number), text);
     const head = configuration.createHeadText(number, model.createNoteDigest(text));
     files.writeText(this.getFile(configuration.HEAD_KEY), `${head}\n`);
   }
 
-  /** Writes a baseline: the chunks before the manifest that names them. */
+  /** Writes a baseline. The chunks are written before the manifest that refers to them. */
   writeBaseline(baseline: configuration.Baseline): void {
     for (const [key, text] of baseline.chunks) {
       files.writeText(this.getFile(key), text);
@@ -58,31 +58,31 @@
   }
 
   /**
-   * Applies the notes of the chain, from the baseline where the first notes are gone.
+   * Applies the notes of the chain. If the first notes have been removed, starts from the baseline.
    *
-   * @param last The last note to apply; all when undefined.
-   * @throws {output.FindingsError} When a note is missing or refused.
+   * @param last Number of the last note to apply; undefined applies all.
+   * @throws {output.FindingsError} If a note is missing or refused.
    */
   load(last?: number): configuration.TableSnapshot | undefined {
-    const numbers = this.listNumbers().filter((number) => number <= (last ?? Infinity));
+    const numbers = this.listNoteNumbers().filter((number) => number <= (last ?? Infinity));
     const first = numbers[0];
-    const isCut = first === undefined || first > 1;
-    let snapshot = isCut ? this.loadBaseline() : undefined;
+    const startsWithBaseline = first === undefined || first > 1;
+    let snapshot = startsWithBaseline ? this.loadBaseline() : undefined;
     if (snapshot !== undefined && snapshot.number > (last ?? Infinity)) {
-      throw this.#createGap(last ?? 1);
+      throw this.#createGapError(last ?? 1);
     }
     for (const number of numbers) {
       if (number > (snapshot?.number ?? 0)) {
-        snapshot = this.#follow(snapshot, number);
+        snapshot = this.#applyNote(snapshot, number);
       }
     }
     if (last !== undefined && snapshot?.number !== last) {
-      throw this.#createGap(last);
+      throw this.#createGapError(last);
     }
     return snapshot;
   }
 
-  /** Reads the baseline and checks it by itself; undefined when there is none. */
+  /** Reads and validates the baseline independently of the notes; undefined if there is none. */
   loadBaseline(): configuration.TableSnapshot | undefined {
     const manifest = this.readManifest();
     if (manifest === undefined) {
@@ -120,13 +120,13 @@
     return manifest.value;
   }
 
-  #follow(
+  #applyNote(
     snapshot: configuration.TableSnapshot | undefined,
     number: number,
   ): configuration.TableSnapshot {
     const expected = (snapshot?.number ?? 0) + 1;
     if (number !== expected) {
-      throw this.#createGap(expected);
+      throw this.#createGapError(expected);
     }
     const file = this.getNoteFile(number);
     const next = configuration.applyNoteText(snapshot, files.readText(file));
@@ -136,7 +136,7 @@
     return next.value;
   }
 
-  #createGap(number: number): output.FindingsError {
+  #createGapError(number: number): output.FindingsError {
     const gap = model.createDiagnostic(model.Diagnostics.chainGap, [number]);
     return output.createFindingsError(this.getNoteFile(number), [gap]);
   }
--- a/packages/operator/src/commands/check.ts
+++ b/packages/operator/src/commands/check.ts
@@ -1,5 +1,5 @@
 /**
- * `hemlockctl check`: checks a release note by itself, or against the chain that it follows.
+ * `hemlockctl check`: validates a release note, either alone or against the chain that it extends.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -28,10 +28,10 @@
 }
 
 export const checkCommand = citty.defineCommand({
-  meta: { name: "check", description: "Checks a release note." },
+  meta: { name: "check", description: "Validates a release note." },
   args: {
     note: { type: "positional", required: true, description: "Release note file." },
-    chain: { type: "string", description: "Folder of the chain that the note follows." },
+    chain: { type: "string", description: "Folder of the chain that the note extends." },
   },
-  run: ({ args }) => output.runReporting(() => checkNote(args.note, args.chain)),
+  run: ({ args }) => output.runCommand(() => checkNote(args.note, args.chain)),
 });
--- a/packages/operator/src/commands/compact.ts
+++ b/packages/operator/src/commands/compact.ts
@@ -34,5 +34,5 @@
 export const compactCommand = citty.defineCommand({
   meta: { name: "compact", description: "Writes a baseline of a chain." },
   args: { chain: { type: "positional", required: true, description: "Folder of the chain." } },
-  run: ({ args }) => output.runReporting(() => compact(args.chain)),
+  run: ({ args }) => output.runCommand(() => compact(args.chain)),
 });
--- a/packages/operator/src/commands/diff.ts
+++ b/packages/operator/src/commands/diff.ts
@@ -1,5 +1,5 @@
 /**
- * `hemlockctl diff`: what differs between two states.
+ * `hemlockctl diff`: shows the differences between two states.
  */
 
 import * as path from "node:path";
@@ -13,8 +13,9 @@
 import * as stateDifference from "../state_difference.ts";
 
 /**
- * Reads a state: a folder of a chain, also as of one note (`chain@7`), a folder of declarations, or
- * the entities that one note adds and changes.
+ * Reads a state. The argument is the folder of a chain, optionally with the number of the last note
+ * to apply (`chain@7`), a folder of declarations, or a note file. A note file yields the entities
+ * that the note adds and changes.
  */
 function readState(argument: string): declarations.EntityState {
   const [, name = argument, number] = /^(.*?)(?:@(\d+))?$/.exec(argument) ?? [];
@@ -55,14 +56,18 @@
 }
 
 export const diffCommand = citty.defineCommand({
-  meta: { name: "diff", description: "Shows what differs between two states or notes." },
+  meta: { name: "diff", description: "Shows the differences between two states or notes." },
   args: {
     from: {
       type: "positional",
       required: true,
-      description: "Chain folder (also chain@7), declarations folder or note file.",
+      description: "Chain folder (optionally chain@7), declarations folder or note file.",
+    },
+    to: {
+      type: "positional",
+      required: true,
+      description: "State to compare with, in the same forms.",
     },
-    to: { type: "positional", required: true, description: "The same." },
   },
-  run: ({ args }) => output.runReporting(() => printDifference(args.from, args.to)),
+  run: ({ args }) => output.runCommand(() => printDifference(args.from, args.to)),
 });
--- a/packages/operator/src/commands/explain.ts
+++ b/packages/operator/src/commands/explain.ts
@@ -1,5 +1,5 @@
 /**
- * `hemlockctl explain`: what a configuration makes of a request.
+ * `hemlockctl explain`: shows how a configuration handles a request.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -15,7 +15,7 @@
   readonly key: model.KeyDigest | undefined;
 }
 
-/** Describes the way of a request through a configuration, one fact a line. */
+/** Describes how a configuration handles a request, one property per line. */
 export function explainRequest(
   snapshot: configuration.TableSnapshot,
   request: RequestDescription,
@@ -29,7 +29,7 @@
   lines.push(
     `route: ${route.id} (${route.host ?? "any host"}${route.pathPrefix})`,
     `timeout: ${route.timeoutMilliseconds} ms`,
-    `sent again: ${isIdempotent ? "yes, the method is idempotent here" : "only if it did not run"}`,
+    `retried: ${isIdempotent ? "yes, the method is idempotent here" : "only if it did not run"}`,
     ...explainService(snapshot, route.service),
   );
   return [...lines, ...explainWorkspace(snapshot, route, request.key)];
@@ -44,7 +44,7 @@
   const leaving = targets.filter((target) => target.leaving).length;
   return [
     `service: ${id}, ${targets.length} targets, ${leaving} of them leaving`,
-    `slots for each target: ${service?.slots}, connections: ${service?.connections}, ` +
+    `slots per target: ${service?.slots}, connections: ${service?.connections}, ` +
     `floor: ${service?.floor}`,
   ];
 }
@@ -55,7 +55,7 @@
   key: model.KeyDigest | undefined,
 ): string[] {
   if (route.open) {
-    return ["workspace: none, the route is open to all", "runs: yes"];
+    return ["workspace: none, the route is open to all", "admitted: yes"];
   }
   if (key === undefined) {
     return ["refused: the route needs a key"];
@@ -70,9 +70,9 @@
   const workspace = snapshot.findWorkspace(found.workspace);
   return [
     `workspace: ${found.workspace}`,
-    `rate: ${workspace?.rate} a second, burst: ${workspace?.burst}, counted over all VMs`,
+    `rate: ${workspace?.rate} a second, burst: ${workspace?.burst}, for all VMs together`,
     `weight: ${(workspace?.weight ?? 1) * route.weight}`,
-    "runs: yes, within the rate",
+    "admitted: yes, within the rate",
   ];
 }
 
@@ -86,17 +86,20 @@
 }
 
 export const explainCommand = citty.defineCommand({
-  meta: { name: "explain", description: "Shows what a chain makes of a request." },
+  meta: {
+    name: "explain",
+    description: "Shows how the configuration of a chain handles a request.",
+  },
   args: {
     chain: { type: "positional", required: true, description: "Folder of the chain." },
-    host: { type: "string", default: "", description: "Host that the request names." },
+    host: { type: "string", default: "", description: "Host of the request." },
     path: { type: "string", default: "/", description: "Path of the request." },
     method: { type: "string", default: "GET", description: "Method of the request." },
     key: { type: "string", description: "The caller's key." },
-    digest: { type: "string", description: "Digest of the caller's key, in place of the key." },
+    digest: { type: "string", description: "Digest of the caller's key, instead of the key." },
   },
   run: ({ args }) =>
-    output.runReporting(() => {
+    output.runCommand(() => {
       const { host, path, method, key, digest } = args;
       const keyDigest = key === undefined
         ? digest as model.KeyDigest | undefined
--- a/packages/operator/src/commands/explain_request.ts
+++ b/packages/operator/src/commands/explain_request.ts
@@ -1,5 +1,5 @@
 /**
- * `hemlockctl explain-request`: how one request came to its end, from the logs of the VMs.
+ * `hemlockctl explain-request`: shows from the VMs' logs how one request was handled.
  */
 
 import * as fs from "node:fs";
@@ -7,9 +7,9 @@
 import * as readline from "node:readline";
 import * as citty from "citty";
 import * as output from "../output.ts";
-import * as stories from "../request_stories.ts";
+import * as requestTraces from "../request_traces.ts";
 
-async function* readLines(files: readonly string[]): AsyncGenerator<string> {
+async function* readLogLines(files: readonly string[]): AsyncGenerator<string> {
   if (files.length === 0) {
     yield* readline.createInterface({ input: process.stdin });
   }
@@ -19,35 +19,35 @@
 }
 
 async function explainRequest(request: string, files: readonly string[]): Promise<void> {
-  let extract: stories.LogExtract;
+  let extract: requestTraces.LogExtract;
   try {
-    extract = await stories.readLog(readLines(files));
+    extract = await requestTraces.readLog(readLogLines(files));
   } catch (error) {
     output.printNotice(`The logs cannot be read: ${String(error)}`);
     process.exitCode = output.EXIT_INVALID;
     return;
   }
-  const lines = stories.formatStories(extract, request);
+  const lines = requestTraces.formatTraces(extract, request);
   if (lines.length > 0) {
     lines.forEach(output.printLine);
     return;
   }
   output.printNotice(`The logs hold no story of the request '${request}'.`);
-  stories.explainMissing(extract).forEach(output.printNotice);
+  requestTraces.explainMissingTrace(extract).forEach(output.printNotice);
   process.exitCode = output.EXIT_NOT_FOUND;
 }
 
 export const explainRequestCommand = citty.defineCommand({
   meta: {
     name: "explain-request",
-    description: "Tells from the logs of the VMs how a request came to its end.",
+    description: "Shows from the logs of the VMs how a request was handled.",
   },
   args: {
     request: { type: "positional", required: true, description: "Identifier of the request." },
     files: {
       type: "positional",
       required: false,
-      description: "Log files of any number of VMs; standard input without any.",
+      description: "Log files of one or more VMs; standard input if none is given.",
     },
   },
   run: ({ args }) => explainRequest(args.request, args._.slice(1)),
--- a/packages/operator/src/commands/key_new.ts
+++ b/packages/operator/src/commands/key_new.ts
@@ -1,5 +1,5 @@
 /**
- * `hemlockctl key new`: makes a caller's key.
+ * `hemlockctl key new`: creates a caller's key.
  */
 
 import * as crypto from "node:crypto";
@@ -10,7 +10,10 @@
 const KEY_BYTES = 24;
 
 export const keyNewCommand = citty.defineCommand({
-  meta: { name: "new", description: "Makes a key; prints it once, with its digest for the note." },
+  meta: {
+    name: "new",
+    description: "Creates a key and prints it once, with its digest for the release note.",
+  },
   run() {
     const key = crypto.randomBytes(KEY_BYTES).toString("base64url");
     output.printLine(`key:    ${key}`);
--- a/packages/operator/src/commands/note_new.ts
+++ b/packages/operator/src/commands/note_new.ts
@@ -1,5 +1,5 @@
 /**
- * `hemlockctl note new`: writes the note that leads from the chain to the declared state.
+ * `hemlockctl note new`: writes the note that changes the state of a chain into the declared state.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -10,12 +10,12 @@
 import * as output from "../output.ts";
 import * as stateDifference from "../state_difference.ts";
 
-function createNotes(chain: string, folder: string, title: string, isDry: boolean): void {
+function createNotes(chain: string, folder: string, title: string, isDryRun: boolean): void {
   const published = new chainFolder.ChainFolder(chain);
   const current = published.load();
   const from = declarations.getState(current);
   const to = declarations.readDeclarations(folder);
-  // A folder that does not declare the fleet leaves it as it is.
+  // If the folder does not declare the fleet, the fleet stays unchanged.
   const declared = { ...to, fleet: to.fleet ?? from.fleet };
   const difference = stateDifference.compareStates(from, declared);
   if (difference.isEmpty) {
@@ -26,7 +26,7 @@
   checkNotes(published, current, notes);
   stateDifference.formatDifference(difference, from).forEach(output.printNotice);
   for (const { number, text } of notes) {
-    if (isDry) {
+    if (isDryRun) {
       output.printLine(text.trimEnd());
     } else {
       published.writeNote(number, text);
@@ -35,7 +35,7 @@
   }
 }
 
-/** Applies the notes before any of them is written. */
+/** Checks that the notes apply to the chain, before any of them is written. */
 function checkNotes(
   published: chainFolder.ChainFolder,
   current: configuration.TableSnapshot | undefined,
@@ -62,8 +62,8 @@
       description: "Folder of the declared state.",
     },
     title: { type: "string", default: "", description: "Title of the note." },
-    dry: { type: "boolean", default: false, description: "Prints the note, writes nothing." },
+    dry: { type: "boolean", default: false, description: "Prints the note without writing it." },
   },
   run: ({ args }) =>
-    output.runReporting(() => createNotes(args.chain, args.declarations, args.title, args.dry)),
+    output.runCommand(() => createNotes(args.chain, args.declarations, args.title, args.dry)),
 });
--- a/packages/operator/src/commands/status.ts
+++ b/packages/operator/src/commands/status.ts
@@ -1,5 +1,5 @@
 /**
- * `hemlockctl status`: asks running VMs what is in force.
+ * `hemlockctl status`: shows the configuration that is in force on running VMs.
  */
 
 import process from "node:process";
@@ -10,7 +10,7 @@
 
 const TIMEOUT_MILLISECONDS = 3_000;
 
-/** What the admin listener of a VM answers, as far as this command reads it. */
+/** The fields of the admin listener's response that this command reads. */
 interface VmStatus {
   readonly vm: string;
   readonly dataCentre: string;
@@ -31,7 +31,7 @@
   }
 }
 
-/** Describes a VM, and lists what operators must look at. */
+/** Describes the status of a VM and lists the problems that operators must examine. */
 export function describeStatus(status: VmStatus): { line: string; alarms: string[] } {
   const { vm, dataCentre, state, configuration: current } = status;
   if (current === null) {
@@ -44,11 +44,11 @@
     alarms.push(`${vm}: not ready`);
   }
   if (current.highestHeard > current.number) {
-    alarms.push(`${vm}: behind, has heard of note ${current.highestHeard}`);
+    alarms.push(`${vm}: behind, note ${current.highestHeard} exists`);
   }
   for (const fork of current.forks) {
     alarms.push(
-      `${vm}: two notes ${fork.number}: ${fork.inForce} in force here, ` +
+      `${vm}: fork at note ${fork.number}: ${fork.inForce} in force here, ` +
         `${fork.refused} at ${fork.seenAt}`,
     );
   }
@@ -63,7 +63,7 @@
   for (const address of addresses) {
     const status = await readStatus(address);
     if (status === undefined) {
-      output.printNotice(`${address}: no answer`);
+      output.printNotice(`${address}: no valid response`);
       process.exitCode ??= output.EXIT_UNREACHABLE;
       continue;
     }
@@ -73,7 +73,7 @@
     const digest = status.configuration?.digest ?? "";
     const other = digests.get(number);
     if (other !== undefined && other !== digest) {
-      alarms.push(`${status.vm}: note ${number} is another one than on a VM above`);
+      alarms.push(`${status.vm}: note ${number} is another one than that of a VM above`);
     }
     digests.set(number, digest);
     alarms.forEach(output.printNotice);
@@ -84,7 +84,7 @@
 }
 
 export const statusCommand = citty.defineCommand({
-  meta: { name: "status", description: "Asks running VMs what is in force." },
+  meta: { name: "status", description: "Shows the configuration that is in force on running VMs." },
   args: {
     address: {
       type: "positional",
@@ -92,5 +92,5 @@
       description: "Admin addresses of VMs, one or more.",
     },
   },
-  run: ({ args }) => output.runReporting(() => printStatus(args._)),
+  run: ({ args }) => output.runCommand(() => printStatus(args._)),
 });
--- a/packages/operator/src/commands/verify.ts
+++ b/packages/operator/src/commands/verify.ts
@@ -1,5 +1,5 @@
 /**
- * `hemlockctl verify`: checks a whole chain before it is published.
+ * `hemlockctl verify`: validates a complete chain before it is published.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -34,16 +34,16 @@
   }
 }
 
-/** Compares the baseline with the state that the notes lead to. */
+/** Compares the baseline with the state that results from the notes up to its number. */
 function verifyBaseline(chain: chainFolder.ChainFolder): string {
   const baseline = chain.loadBaseline();
   if (baseline === undefined) {
     return "no baseline";
   }
-  const numbers = chain.listNumbers();
+  const numbers = chain.listNoteNumbers();
   const isCovered = numbers[0] === 1 && numbers.includes(baseline.number);
   if (!isCovered) {
-    return `a baseline of note ${baseline.number} that the notes do not reach`;
+    return `a baseline of note ${baseline.number} that the remaining notes cannot confirm`;
   }
   const expected = chain.load(baseline.number);
   const difference = findDifference(baseline, expected);
@@ -63,10 +63,10 @@
   if (expected === undefined || baseline.digest !== expected.digest) {
     return "digest";
   }
-  const render = (snapshot: configuration.TableSnapshot) =>
+  const createBaseline = (snapshot: configuration.TableSnapshot) =>
     configuration.runAtOnce(configuration.createBaselineInSteps(snapshot));
-  const left = render(baseline);
-  const right = render(expected);
+  const left = createBaseline(baseline);
+  const right = createBaseline(expected);
   if (JSON.stringify(left.manifest.fleet) !== JSON.stringify(right.manifest.fleet)) {
     return "fleet";
   }
@@ -74,7 +74,7 @@
 }
 
 export const verifyCommand = citty.defineCommand({
-  meta: { name: "verify", description: "Checks a whole chain with its head and baseline." },
+  meta: { name: "verify", description: "Validates a complete chain with its head and baseline." },
   args: { chain: { type: "positional", required: true, description: "Folder of the chain." } },
-  run: ({ args }) => output.runReporting(() => verify(args.chain)),
+  run: ({ args }) => output.runCommand(() => verify(args.chain)),
 });
--- a/packages/operator/src/declarations.ts
+++ b/packages/operator/src/declarations.ts
@@ -20,23 +20,23 @@
 /** Entities of all kinds by identifier. */
 export type EntityTables = Record<model.SectionName, Map<string, configuration.Entity>>;
 
-/** A whole state, declared or reached by notes. */
+/** A complete state, either declared or resulting from notes. */
 export interface EntityState {
   readonly fleet: model.FleetDeclaration | undefined;
   readonly tables: EntityTables;
 }
 
-/** A state without anything in it. */
+/** Creates a state without a fleet or entities. */
 export function createEmptyState(): EntityState {
-  return { fleet: undefined, tables: createTables() };
+  return { fleet: undefined, tables: createEmptyTables() };
 }
 
-/** The state of a configuration. */
+/** Returns the state of a configuration. */
 export function getState(snapshot: configuration.TableSnapshot | undefined): EntityState {
   if (snapshot === undefined) {
     return createEmptyState();
   }
-  const tables = createTables();
+  const tables = createEmptyTables();
   for (const section of model.SECTION_NAMES) {
     for (const entity of snapshot.views[section].values()) {
       tables[section].set(configuration.getEntityId(entity), entity);
@@ -48,11 +48,11 @@
 /**
  * Reads all `.json` and `.jsonc` files of a folder.
  *
- * @throws {output.FindingsError} With the findings in all files.
+ * @throws {output.FindingsError} With the findings of all files, if there are any.
  */
 export function readDeclarations(folder: string): EntityState {
   const findings: output.FileFinding[] = [];
-  const tables = createTables();
+  const tables = createEmptyTables();
   let fleet: model.FleetDeclaration | undefined;
   for (const file of files.listFiles(folder)) {
     if (!/\.jsonc?$/.test(file)) {
@@ -99,7 +99,7 @@
   return repeated;
 }
 
-function createTables(): EntityTables {
+function createEmptyTables(): EntityTables {
   return {
     workspaces: new Map(),
     keys: new Map(),
--- a/packages/operator/src/main.ts
+++ b/packages/operator/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The binary `hemlockctl`: the operators' tool.
+ * The binary `hemlockctl`: the command-line tool for operators.
  */
 
 import * as citty from "citty";
@@ -17,17 +17,21 @@
 const VERSION = "0.1.0";
 
 const keyCommand = citty.defineCommand({
-  meta: { name: "key", description: "Keys of callers." },
+  meta: { name: "key", description: "Manages callers' keys." },
   subCommands: { new: keyNew.keyNewCommand },
 });
 
 const noteCommand = citty.defineCommand({
-  meta: { name: "note", description: "Release notes." },
+  meta: { name: "note", description: "Manages release notes." },
   subCommands: { new: noteNew.noteNewCommand },
 });
 
 const mainCommand = citty.defineCommand({
-  meta: { name: "hemlockctl", version: VERSION, description: "Tool of hemlockwalk's operators." },
+  meta: {
+    name: "hemlockctl",
+    version: VERSION,
+    description: "Command-line tool for hemlockwalk operators.",
+  },
   subCommands: {
     check: check.checkCommand,
     compact: compact.compactCommand,
--- a/packages/operator/src/mod.ts
+++ b/packages/operator/src/mod.ts
@@ -1,2 +1,2 @@
-/** The operators' tool as a library. */
+/** The operators' command-line tool; it exports no library interface. */
 export {};
--- a/packages/operator/src/note_writing.ts
+++ b/packages/operator/src/note_writing.ts
@@ -1,20 +1,20 @@
 /**
- * Writes the notes that lead from one state to another.
+ * Creates the notes that change one state into another.
  */
 
 import * as model from "@hemlockwalk/model";
 import type * as stateDifference from "./state_difference.ts";
 
-/** Room for what surrounds the entities of a note. */
+/** Bytes of a note that are reserved for everything but its entities. */
 const ENVELOPE_BYTES = 20_000;
 
-/** The note that the next one follows. */
+/** The note that precedes the first new one. */
 export interface Predecessor {
   readonly number: number;
   readonly digest: string;
 }
 
-/** One written note. */
+/** The number and the text of a new note. */
 export interface WrittenNote {
   readonly number: number;
   readonly text: string;
@@ -30,19 +30,20 @@
 }
 
 /**
- * Writes one note, or several where one would be above the platform's limit.
+ * Creates one note, or several if one would exceed the platform's size limit.
  *
- * Then entities that nothing can conflict with are added first, in the order of their references,
- * and the last note holds everything else.
+ * When there are several, the first notes add the entities whose addition cannot conflict with the
+ * current state, each after the entities that it refers to. One more note contains all other
+ * changes; if it would be too large as well, added routes get notes of their own before it.
  */
 export function writeNotes(
   predecessor: Predecessor | undefined,
   difference: stateDifference.StateDifference,
   title: string,
 ): WrittenNote[] {
-  const whole = createWholeBody(difference);
-  const bodies = getBytes(whole) <= model.MAXIMUM_NOTE_BYTES - ENVELOPE_BYTES
-    ? [whole]
+  const fullBody = createFullBody(difference);
+  const bodies = getJsonBytes(fullBody) <= model.MAXIMUM_NOTE_BYTES - ENVELOPE_BYTES
+    ? [fullBody]
     : splitBody(difference);
   const notes: WrittenNote[] = [];
   let previous = predecessor;
@@ -51,7 +52,7 @@
     const head = { format: model.NOTE_FORMAT, number, previous: previous?.digest ?? null, title };
     const text = `${JSON.stringify({ ...head, ...body }, undefined, 1)}\n`;
     const compact = `${JSON.stringify({ ...head, ...body })}\n`;
-    // Indentation helps readers of short notes; long ones would need more of the limit for it.
+    // Only short notes are indented, since indentation counts towards the size limit.
     const written = Buffer.byteLength(text) <= ENVELOPE_BYTES ? text : compact;
     notes.push({ number, text: written });
     previous = { number, digest: model.createNoteDigest(written) };
@@ -59,16 +60,16 @@
   return notes;
 }
 
-function createWholeBody(difference: stateDifference.StateDifference): NoteBody {
+function createFullBody(difference: stateDifference.StateDifference): NoteBody {
   return {
     fleet: difference.fleet,
-    added: pickLists(difference, "added", model.SECTION_NAMES),
-    changed: pickLists(difference, "changed", model.SECTION_NAMES),
-    withdrawn: pickLists(difference, "withdrawn", model.SECTION_NAMES),
+    added: selectLists(difference, "added", model.SECTION_NAMES),
+    changed: selectLists(difference, "changed", model.SECTION_NAMES),
+    withdrawn: selectLists(difference, "withdrawn", model.SECTION_NAMES),
   };
 }
 
-function pickLists(
+function selectLists(
   difference: stateDifference.StateDifference,
   part: "added" | "changed" | "withdrawn",
   sections: readonly model.SectionName[],
@@ -92,28 +93,28 @@
   }
   const [first, ...others] = bodies;
   const last: NoteBody = {
-    added: pickLists(difference, "added", ["routes"]),
-    changed: pickLists(difference, "changed", model.SECTION_NAMES),
-    withdrawn: pickLists(difference, "withdrawn", model.SECTION_NAMES),
+    added: selectLists(difference, "added", ["routes"]),
+    changed: selectLists(difference, "changed", model.SECTION_NAMES),
+    withdrawn: selectLists(difference, "withdrawn", model.SECTION_NAMES),
   };
-  const lasts = getBytes(last) <= model.MAXIMUM_NOTE_BYTES - ENVELOPE_BYTES
+  const lastBodies = getJsonBytes(last) <= model.MAXIMUM_NOTE_BYTES - ENVELOPE_BYTES
     ? [last]
     : [...splitList(difference.sections.routes.added).map((routes) => ({ added: { routes } })), {
       ...last,
       added: {},
     }];
-  // The declaration of the fleet goes first, since a first note must have it.
+  // The first note of a chain requires the fleet declaration, so the first of these notes has it.
   return first === undefined
-    ? lasts.map((body, index) => index === 0 ? { fleet: difference.fleet, ...body } : body)
-    : [{ fleet: difference.fleet, ...first }, ...others, ...lasts];
+    ? lastBodies.map((body, index) => index === 0 ? { fleet: difference.fleet, ...body } : body)
+    : [{ fleet: difference.fleet, ...first }, ...others, ...lastBodies];
 }
 
-/** Splits a list into parts that each fit into a note. */
+/** Splits a list into parts of which each fits into one note. */
 function splitList(list: readonly unknown[]): unknown[][] {
   const parts: unknown[][] = [];
   let bytes = Infinity;
   for (const entity of list) {
-    const entityBytes = getBytes(entity) + 1;
+    const entityBytes = getJsonBytes(entity) + 1;
     bytes += entityBytes;
     if (bytes > model.MAXIMUM_NOTE_BYTES - ENVELOPE_BYTES) {
       parts.push([]);
@@ -124,6 +125,6 @@
   return parts;
 }
 
-function getBytes(value: unknown): number {
+function getJsonBytes(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
--- a/packages/operator/src/output.ts
+++ b/packages/operator/src/output.ts
@@ -1,27 +1,27 @@
 /**
- * What the tool prints, and its exit codes.
+ * The output and the exit codes of the tool.
  */
 
 import process from "node:process";
 import * as model from "@hemlockwalk/model";
 
-/** Exit code when something that was checked is wrong. */
+/** Exit code if an input is invalid. */
 export const EXIT_INVALID = 2;
-/** Exit code when a VM could not be asked. */
+/** Exit code if a VM gave no valid response. */
 export const EXIT_UNREACHABLE = 3;
-/** Exit code when a VM tells of something that operators must look at. */
+/** Exit code if a VM reports a problem that operators must examine. */
 export const EXIT_ALARM = 4;
 
-/** Exit code when what was asked for is not there. */
+/** Exit code if the requested item was not found. */
 export const EXIT_NOT_FOUND = 5;
 
-/** A finding with the file that it is about. */
+/** A finding and the file in which it was made. */
 export interface FileFinding {
   readonly file: string;
   readonly diagnostic: model.Diagnostic;
 }
 
-/** Ends a command: the findings are printed and the exit code says that something is wrong. */
+/** Ends a command: its findings are printed and the exit code is `EXIT_INVALID`. */
 export class FindingsError extends Error {
   override readonly name = "FindingsError";
   readonly findings: readonly FileFinding[];
@@ -32,7 +32,7 @@
   }
 }
 
-/** Ends a command over findings in one file. */
+/** Creates the error that ends a command because of findings in one file. */
 export function createFindingsError(
   file: string,
   diagnostics: readonly model.Diagnostic[],
@@ -40,18 +40,18 @@
   return new FindingsError(diagnostics.map((diagnostic) => ({ file, diagnostic })));
 }
 
-/** Prints a line of the result. */
+/** Prints a line of the result to standard output. */
 export function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-/** Prints a line that is not part of the result. */
+/** Prints a line that is not part of the result to standard error. */
 export function printNotice(line: string): void {
   process.stderr.write(`${line}\n`);
 }
 
-/** Runs a command's body; findings that end it are printed to standard error. */
-export async function runReporting(body: () => void | Promise<void>): Promise<void> {
+/** Runs the body of a command. If findings end it, prints them to standard error. */
+export async function runCommand(body: () => void | Promise<void>): Promise<void> {
   try {
     await body();
   } catch (error) {
--- a/packages/operator/src/request_traces.ts
+++ b/packages/operator/src/request_traces.ts
@@ -1,19 +1,19 @@
 /**
- * The story of one request out of the logs of many VMs.
+ * Extracts the trace of one request from the logs of many VMs.
  *
- * Logs are taken as they come: files of several VMs in any order, lines that are torn, lines of other
- * programs, lines behind a prefix of whatever collected them. The clocks of VMs differ, so times are
- * compared within one VM only, and its lines stay in the order in which it wrote them.
+ * The logs may be files of several VMs in any order. They may contain truncated lines, lines of
+ * other programs, and prefixes added by a log collector. The clocks of VMs differ, so times are
+ * compared only within one VM, and the lines of each VM stay in the order in which it wrote them.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
 import * as zod from "zod";
 
-/** Lines of the same VM that lie this close to the end of a request may explain it. */
-const SURROUNDINGS_MILLISECONDS = 10_000;
+/** Lines that the same VM logged this close to the end of a request are shown as its context. */
+const CONTEXT_MILLISECONDS = 10_000;
 
-/** Most lines of the surroundings that are shown, the latest ones. */
-const MOST_SURROUNDING_LINES = 20;
+/** Highest number of context lines that are shown; the latest ones are kept. */
+const MAXIMUM_CONTEXT_LINES = 20;
 
 const stepSchema = zod.looseObject({ at: zod.number(), step: zod.string() });
 
@@ -30,7 +30,7 @@
   count: zod.number().optional(),
 });
 
-/** Fields that every line has and that say nothing about the request. */
+/** Fields that every line has and that are not specific to a request. */
 const COMMON_FIELDS = new Set([
   "name",
   "vm",
@@ -43,71 +43,71 @@
   "v",
 ]);
 
-const STORIES_LEFT_OUT = kernel.LogMessages.storiesLeftOut.text;
+const TRACES_OMITTED_TEXT = kernel.LogMessages.storiesLeftOut.text;
 
 /** One line of a log. */
 type LogLine = zod.infer<typeof lineSchema>;
 
 type Step = zod.infer<typeof stepSchema>;
 
-/** Lines of the logs, as far as they can be read. */
+/** The valid lines of the logs. */
 export interface LogExtract {
   readonly linesByVm: ReadonlyMap<string, readonly LogLine[]>;
   readonly lineCount: number;
-  /** Lines that begin as an object does and cannot be read. */
-  readonly tornCount: number;
+  /** Lines that contain the start of a JSON object but cannot be parsed, such as truncated ones. */
+  readonly malformedCount: number;
 }
 
 /** Reads the lines of any number of logs. */
 export async function readLog(lines: AsyncIterable<string>): Promise<LogExtract> {
   const linesByVm = new Map<string, LogLine[]>();
   let lineCount = 0;
-  let tornCount = 0;
+  let malformedCount = 0;
   for await (const text of lines) {
     lineCount++;
     const line = parseLine(text);
-    if (line === "torn") {
-      tornCount++;
+    if (line === "malformed") {
+      malformedCount++;
     } else if (line !== undefined) {
-      const known = linesByVm.get(line.vm);
-      if (known === undefined) {
+      const vmLines = linesByVm.get(line.vm);
+      if (vmLines === undefined) {
         linesByVm.set(line.vm, [line]);
       } else {
-        known.push(line);
+        vmLines.push(line);
       }
     }
   }
-  return { linesByVm, lineCount, tornCount };
+  return { linesByVm, lineCount, malformedCount };
 }
 
-/** The story of a request, a line for each step; empty when no VM wrote one. */
-export function formatStories(extract: LogExtract, request: string): string[] {
+/** Formats the traces of a request, one step per line; empty if no VM logged one. */
+export function formatTraces(extract: LogExtract, request: string): string[] {
   const output: string[] = [];
   for (const [vm, lines] of extract.linesByVm) {
     for (const [index, line] of lines.entries()) {
       if (line.request === request && line.steps !== undefined) {
-        output.push(...formatStory(vm, lines, index));
+        output.push(...formatTrace(vm, lines, index));
       }
     }
   }
   return output;
 }
 
-/** Why there may be no story, one reason a line. */
-export function explainMissing(extract: LogExtract): string[] {
-  const stories = [...extract.linesByVm.values()].flat();
-  const leftOut = stories
-    .filter((line) => line.msg.endsWith(STORIES_LEFT_OUT))
+/** Lists the possible reasons for a missing trace, one per line. */
+export function explainMissingTrace(extract: LogExtract): string[] {
+  const allLines = [...extract.linesByVm.values()].flat();
+  const omittedCount = allLines
+    .filter((line) => line.msg.endsWith(TRACES_OMITTED_TEXT))
     .reduce((sum, line) => sum + (line.count ?? 0), 0);
   return [
-    `read: ${extract.lineCount} lines, ${extract.tornCount} of them torn, ` +
+    `read: ${extract.lineCount} lines, ${extract.malformedCount} of them torn, ` +
     `of ${extract.linesByVm.size} VMs`,
-    `stories that the VMs left out to bound the volume: ${leftOut}`,
-    "a VM that was killed wrote no story of the requests that it held",
+    `stories that the VMs left out to bound the volume: ${omittedCount}`,
+    "a VM that was killed wrote no stories of the requests that it was handling",
   ];
 }
 
-function parseLine(text: string): LogLine | "torn" | undefined {
+function parseLine(text: string): LogLine | "malformed" | undefined {
   const start = text.indexOf("{");
   if (start < 0) {
     return undefined;
@@ -116,32 +116,32 @@
   try {
     value = JSON.parse(text.slice(start));
   } catch {
-    return "torn";
+    return "malformed";
   }
   const line = lineSchema.safeParse(value);
   return line.success ? line.data : undefined;
 }
 
-function formatStory(vm: string, lines: readonly LogLine[], index: number): string[] {
+function formatTrace(vm: string, lines: readonly LogLine[], index: number): string[] {
   const line = lines[index];
   if (line === undefined) {
     return [];
   }
   const steps = parseSteps(line.steps);
   const targets = new Set(steps.map((step) => step["target"]));
-  const endsAt = Date.parse(line.time);
-  const arrivedAt = endsAt - (steps.at(-1)?.at ?? 0);
-  const surroundings = lines
+  const endedAt = Date.parse(line.time);
+  const arrivedAt = endedAt - (steps.at(-1)?.at ?? 0);
+  const contextLines = lines
     .slice(0, index)
-    .filter((other) => isRelated(other, targets, endsAt))
-    .slice(-MOST_SURROUNDING_LINES);
+    .filter((other) => isRelated(other, targets, endedAt))
+    .slice(-MAXIMUM_CONTEXT_LINES);
   return [
     `request ${line.request} at ${vm}, ended ${line.time}: ` +
     `${line.outcome}, status ${formatStatus(line.status)}`,
     ...(steps.length === 0 ? ["  no step was recorded"] : []),
     ...steps.map((step) => `  +${step.at} ms  ${step.step}${formatFields(step, STEP_FIELDS)}`),
-    ...(surroundings.length === 0 ? [] : ["  before, on the same VM:"]),
-    ...surroundings.map((other) =>
+    ...(contextLines.length === 0 ? [] : ["  before, on the same VM:"]),
+    ...contextLines.map((other) =>
       `  ${formatOffset(Date.parse(other.time) - arrivedAt)}  ${other.msg}` +
       formatFields(other, COMMON_FIELDS)
     ),
@@ -150,11 +150,11 @@
 
 const STEP_FIELDS = new Set(["at", "step"]);
 
-/** Lines about the request's targets, and those about the VM as a whole. */
-function isRelated(line: LogLine, targets: ReadonlySet<unknown>, endsAt: number): boolean {
-  const isClose = Math.abs(endsAt - Date.parse(line.time)) <= SURROUNDINGS_MILLISECONDS;
-  const isStory = line.request !== undefined || line.msg.endsWith(STORIES_LEFT_OUT);
-  return isClose && !isStory && (line.target === undefined || targets.has(line.target));
+/** Whether a line was logged close to the end of the request and is not about some other target. */
+function isRelated(line: LogLine, targets: ReadonlySet<unknown>, endedAt: number): boolean {
+  const isClose = Math.abs(endedAt - Date.parse(line.time)) <= CONTEXT_MILLISECONDS;
+  const isTrace = line.request !== undefined || line.msg.endsWith(TRACES_OMITTED_TEXT);
+  return isClose && !isTrace && (line.target === undefined || targets.has(line.target));
 }
 
 function parseSteps(text: string | undefined): Step[] {
--- a/packages/operator/src/state_difference.ts
+++ b/packages/operator/src/state_difference.ts
@@ -1,5 +1,5 @@
 /**
- * The difference between two states, as lists of entities.
+ * The difference between two states as lists of entities.
  */
 
 import * as util from "node:util";
@@ -7,16 +7,16 @@
 import * as model from "@hemlockwalk/model";
 import type * as declarations from "./declarations.ts";
 
-/** What one section of a state differs in. */
+/** The differences in one section of the states. */
 export interface SectionDifference {
   readonly added: readonly configuration.Entity[];
   readonly changed: readonly configuration.Entity[];
   readonly withdrawn: readonly string[];
 }
 
-/** What leads from one state to another. */
+/** The changes that turn one state into another. */
 export interface StateDifference {
-  /** Undefined when the declaration of the fleet is the same. */
+  /** Undefined if the fleet declaration is unchanged. */
   readonly fleet: model.FleetDeclaration | undefined;
   readonly sections: Readonly<Record<model.SectionName, SectionDifference>>;
   readonly isEmpty: boolean;
@@ -63,7 +63,7 @@
   return { added, changed, withdrawn };
 }
 
-/** Describes a difference, one entity a line. */
+/** Formats a difference, one entity per line. */
 export function formatDifference(
   difference: StateDifference,
   from: declarations.EntityState,
--- a/packages/operator/test/explain_request_test.ts
+++ b/packages/operator/test/explain_request_test.ts
@@ -1,6 +1,6 @@
 /**
- * Stories of requests out of logs as they are found: of several VMs, torn, behind prefixes, with
- * clocks that differ.
+ * Extraction of request traces from logs of several VMs, with truncated lines, prefixes and clocks
+ * that differ.
  */
 
 import * as assert from "node:assert/strict";
@@ -22,7 +22,7 @@
   return JSON.stringify({ ...common, ...fields, msg, time, v: 0 });
 }
 
-function createStory(vm: string, at: number, request: string, outcome: string, status: number) {
+function createTrace(vm: string, at: number, request: string, outcome: string, status: number) {
   const steps = JSON.stringify([
     { at: 0, step: "accepted", route: "bookings", version: 7 },
     { at: 1, step: "placed", target: "desk-1", load: 2, slots: 6, sickness: 0.4 },
@@ -31,8 +31,8 @@
   return createLine(vm, at, "requests: A request has ended.", { request, outcome, status, steps });
 }
 
-function createDoubt(vm: string, at: number, target: string): string {
-  return createLine(vm, at, "targets: A target is doubted.", {
+function createSuspicion(vm: string, at: number, target: string): string {
+  return createLine(vm, at, "targets: A target is suspected.", {
     part: "targets",
     target,
     sickness: 0.9,
@@ -48,17 +48,17 @@
 }
 
 test.describe("explain-request", () => {
-  test.it("tells the steps and what the VM believed before, from standard input", () => {
+  test.it("prints the steps and the lines that the VM logged before, from standard input", () => {
     const log = [
-      createDoubt("vm-1", -60_000, "desk-1"),
-      createDoubt("vm-1", -2_000, "desk-1"),
-      createDoubt("vm-1", -1_000, "desk-2"),
-      // The clock of this VM is ahead; its lines belong to another story.
-      createDoubt("vm-2", 500, "desk-1"),
+      createSuspicion("vm-1", -60_000, "desk-1"),
+      createSuspicion("vm-1", -2_000, "desk-1"),
+      createSuspicion("vm-1", -1_000, "desk-2"),
+      // The clock of this VM is ahead; its lines are not part of the context.
+      createSuspicion("vm-2", 500, "desk-1"),
       createLine("vm-1", -500, "store: The store gives no answer.", { failure: "unavailable" }),
-      createStory("vm-1", 0, "request-1", "answered", 500),
-      createStory("vm-2", 900, "request-2", "answered", 200),
-      createDoubt("vm-1", 3_000, "desk-1"),
+      createTrace("vm-1", 0, "request-1", "answered", 500),
+      createTrace("vm-2", 900, "request-2", "answered", 200),
+      createSuspicion("vm-1", 3_000, "desk-1"),
     ];
     const { code, out } = run(log.join("\n"), "request-1");
     assert.equal(code, 0);
@@ -69,18 +69,18 @@
       "  +1 ms  placed  target=desk-1  load=2  slots=6  sickness=0.4",
       "  +31 ms  answered  target=desk-1  status=500",
       "  before, on the same VM:",
-      "  -1969 ms  targets: A target is doubted.  target=desk-1  sickness=0.9",
+      "  -1969 ms  targets: A target is suspected.  target=desk-1  sickness=0.9",
       "  -469 ms  store: The store gives no answer.  failure=unavailable",
     ]);
   });
 
-  test.it("bears torn lines, prefixes and lines of other programs", () => {
-    const story = createStory("vm-1", 0, "request-1", "no_room", 503);
+  test.it("accepts truncated lines, prefixes and lines of other programs", () => {
+    const trace = createTrace("vm-1", 0, "request-1", "no_room", 503);
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), "hemlockctl-"));
     try {
       const files = ["one.log", "two.log"].map((name) => path.join(folder, name));
-      fs.writeFileSync(files[0] ?? "", `${story.slice(0, 90)}\nunrelated\n{"a":1}\n`);
-      fs.writeFileSync(files[1] ?? "", `   1.25 vm-1 ${story}\n${story.slice(0, 40)}`);
+      fs.writeFileSync(files[0] ?? "", `${trace.slice(0, 90)}\nunrelated\n{"a":1}\n`);
+      fs.writeFileSync(files[1] ?? "", `   1.25 vm-1 ${trace}\n${trace.slice(0, 40)}`);
       const { code, out } = run("", "request-1", ...files);
       assert.equal(code, 0);
       assert.match(out, /^request request-1 at vm-1, .*: no_room, status 503\n/);
@@ -89,11 +89,11 @@
     }
   });
 
-  test.it("says why there may be no story", () => {
-    const leftOut = createLine("vm-1", 0, "requests: Stories of requests were left out.", {
+  test.it("prints the possible reasons for a missing trace", () => {
+    const omitted = createLine("vm-1", 0, "requests: Stories of requests were left out.", {
       count: 12,
     });
-    const { code, out, errors } = run(`${leftOut}\n{"torn`, "request-9");
+    const { code, out, errors } = run(`${omitted}\n{"truncated`, "request-9");
     assert.equal(code, 5);
     assert.equal(out, "");
     assert.match(errors, /no story of the request 'request-9'/);
--- a/packages/operator/test/hemlockctl_test.ts
+++ b/packages/operator/test/hemlockctl_test.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' tool as a process: files in, output and exit codes out.
+ * Runs the operators' tool as a child process and checks its files, output and exit codes.
  */
 
 import assert from "node:assert/strict";
@@ -16,17 +16,17 @@
 
 const BINARY = url.fileURLToPath(new URL("../src/main.js", import.meta.url));
 
-/** Large differences are printed one entity a line. */
-const HIGHEST_OUTPUT_BYTES = 64_000_000;
+/** Large differences are printed with one entity per line and can exceed the default buffer. */
+const MAXIMUM_OUTPUT_BYTES = 64_000_000;
 
-interface Outcome {
+interface RunResult {
   readonly code: number | null;
   readonly out: string;
   readonly errors: string;
 }
 
-/** A folder for one test, with the tool run in it. */
-class Workbench {
+/** A temporary folder for one test, in which the tool runs. */
+class TestEnvironment {
   readonly folder = fs.mkdtempSync(path.join(os.tmpdir(), "hemlockctl-"));
 
   write(file: string, content: unknown): void {
@@ -40,12 +40,12 @@
     return fs.readFileSync(path.join(this.folder, file), "utf8");
   }
 
-  run(...parameters: string[]): Promise<Outcome> {
+  run(...parameters: string[]): Promise<RunResult> {
     return new Promise((resolve) => {
       const options = {
         cwd: this.folder,
         env: { ...process.env, NO_COLOR: "1" },
-        maxBuffer: HIGHEST_OUTPUT_BYTES,
+        maxBuffer: MAXIMUM_OUTPUT_BYTES,
       };
       const file = process.execPath;
       childProcess.execFile(file, [BINARY, ...parameters], options, (error, out, errors) => {
@@ -59,7 +59,7 @@
 const KEY = "inspector-key";
 const DIGEST = model.createKeyDigest(KEY);
 
-const PEOPLE = `{
+const WORKSPACE_DECLARATIONS = `{
   // Inspectors come first.
   "workspaces": [
     { "id": "antwerp", "rate": 50, "burst": 100, "weight": 2 },
@@ -69,7 +69,7 @@
 }
 `;
 
-const SERVICES = {
+const SERVICE_DECLARATIONS = {
   fleet: { vmLimit: 44 },
   services: [{ id: "inspection", slots: 6, connections: 330 }],
   targets: [
@@ -80,52 +80,58 @@
   ],
 };
 
-function run(name: string, body: (bench: Workbench) => Promise<void>): void {
+function run(name: string, body: (environment: TestEnvironment) => Promise<void>): void {
   test.it(name, async () => {
-    const bench = new Workbench();
-    bench.write("declared/people.jsonc", PEOPLE);
-    bench.write("declared/services.json", SERVICES);
+    const environment = new TestEnvironment();
+    environment.write("declared/people.jsonc", WORKSPACE_DECLARATIONS);
+    environment.write("declared/services.json", SERVICE_DECLARATIONS);
     try {
-      await body(bench);
+      await body(environment);
     } finally {
-      fs.rmSync(bench.folder, { recursive: true });
+      fs.rmSync(environment.folder, { recursive: true });
     }
   });
 }
 
 test.describe("hemlockctl", { concurrency: 3 }, () => {
-  run("makes, compacts and verifies a chain from declarations", async (bench) => {
-    assert.equal((await bench.run("note", "new", "chain", "declared")).code, 0);
-    assert.equal((await bench.run("note", "new", "chain", "declared")).out, "No changes.\n");
-    assert.equal((await bench.run("compact", "chain")).code, 0);
+  run("creates, compacts and verifies a chain from declarations", async (environment) => {
+    assert.equal((await environment.run("note", "new", "chain", "declared")).code, 0);
+    assert.equal((await environment.run("note", "new", "chain", "declared")).out, "No changes.\n");
+    assert.equal((await environment.run("compact", "chain")).code, 0);
 
-    bench.write("declared/people.jsonc", PEOPLE.replace('"rate": 50', '"rate": 60'));
-    const written = await bench.run("note", "new", "chain", "declared");
+    environment.write(
+      "declared/people.jsonc",
+      WORKSPACE_DECLARATIONS.replace('"rate": 50', '"rate": 60'),
+    );
+    const written = await environment.run("note", "new", "chain", "declared");
     assert.equal(written.out, "chain/notes/2.json: written\n");
     assert.match(written.errors, /^~ workspaces \{"id":"antwerp","rate":60,/);
-    const verified = await bench.run("verify", "chain");
+    const verified = await environment.run("verify", "chain");
     assert.equal(verified.out, "chain: 2 notes, a baseline of note 1, no findings\n");
-    const head = JSON.parse(bench.read("chain/head.json")) as { number: number; digest: string };
-    const text = bench.read("chain/notes/2.json");
+    const head = JSON.parse(environment.read("chain/head.json")) as {
+      number: number;
+      digest: string;
+    };
+    const text = environment.read("chain/notes/2.json");
     assert.deepEqual(head, { number: 2, digest: model.createNoteDigest(text) });
 
-    const difference = await bench.run("diff", "chain@1", "declared");
+    const difference = await environment.run("diff", "chain@1", "declared");
     assert.match(difference.out, /^~ workspaces .*"rate":60/);
-    // The first note may be taken away once a baseline holds what it led to.
-    fs.rmSync(path.join(bench.folder, "chain/notes/1.json"));
-    assert.equal((await bench.run("verify", "chain")).code, 0);
-    assert.equal((await bench.run("diff", "chain", "declared")).out, "No differences.\n");
+    // The first note may be removed once a baseline contains the resulting state.
+    fs.rmSync(path.join(environment.folder, "chain/notes/1.json"));
+    assert.equal((await environment.run("verify", "chain")).code, 0);
+    assert.equal((await environment.run("diff", "chain", "declared")).out, "No differences.\n");
   });
 
   run(
-    "splits a difference above the platform's limit into notes that lead to it",
-    async (bench) => {
+    "splits a difference above the platform's size limit into several notes",
+    async (environment) => {
       const count = 7_000;
       const workspaces = Array.from(
         { length: count },
         (_, index) => ({ id: `city-${index}`, rate: 1, burst: 1 }),
       );
-      bench.write("declared/cities.json", {
+      environment.write("declared/cities.json", {
         workspaces,
         keys: workspaces.map(({ id }) => ({ digest: model.createKeyDigest(id), workspace: id })),
         routes: workspaces.slice(0, 10).map(({ id }) => ({
@@ -135,98 +141,101 @@
           workspaces: [id],
         })),
       });
-      assert.equal((await bench.run("note", "new", "chain", "declared")).code, 0);
-      const notes = fs.readdirSync(path.join(bench.folder, "chain/notes"));
+      assert.equal((await environment.run("note", "new", "chain", "declared")).code, 0);
+      const notes = fs.readdirSync(path.join(environment.folder, "chain/notes"));
       assert.ok(notes.length > 1, `${notes.length} notes`);
       for (const note of notes) {
-        const bytes = Buffer.byteLength(bench.read(`chain/notes/${note}`));
+        const bytes = Buffer.byteLength(environment.read(`chain/notes/${note}`));
         assert.ok(bytes <= model.MAXIMUM_NOTE_BYTES, `${note} has ${bytes} bytes`);
       }
-      assert.equal((await bench.run("diff", "chain", "declared")).out, "No differences.\n");
-      // And all of it back again.
-      await bench.run("compact", "chain");
-      assert.equal((await bench.run("verify", "chain")).code, 0);
-      fs.rmSync(path.join(bench.folder, "declared/cities.json"));
-      assert.equal((await bench.run("note", "new", "chain", "declared")).code, 0);
-      assert.equal((await bench.run("diff", "chain", "declared")).out, "No differences.\n");
+      assert.equal((await environment.run("diff", "chain", "declared")).out, "No differences.\n");
+      // Removes all of these entities again.
+      await environment.run("compact", "chain");
+      assert.equal((await environment.run("verify", "chain")).code, 0);
+      fs.rmSync(path.join(environment.folder, "declared/cities.json"));
+      assert.equal((await environment.run("note", "new", "chain", "declared")).code, 0);
+      assert.equal((await environment.run("diff", "chain", "declared")).out, "No differences.\n");
     },
   );
 
-  run("finds what is wrong with a chain", async (bench) => {
-    await bench.run("note", "new", "chain", "declared");
-    await bench.run("compact", "chain");
-    const chunk = bench.read("chain/baselines/1/0.txt");
-    bench.write("chain/baselines/1/0.txt", chunk.slice(0, chunk.length >> 1));
-    const torn = await bench.run("verify", "chain");
-    assert.equal(torn.code, 2);
-    assert.match(torn.errors, /^chain\/baselines\/1\/0\.txt - HW4005 /);
-    bench.write("chain/baselines/1/0.txt", chunk);
+  run("reports defects of a chain", async (environment) => {
+    await environment.run("note", "new", "chain", "declared");
+    await environment.run("compact", "chain");
+    const chunk = environment.read("chain/baselines/1/0.txt");
+    environment.write("chain/baselines/1/0.txt", chunk.slice(0, chunk.length >> 1));
+    const truncated = await environment.run("verify", "chain");
+    assert.equal(truncated.code, 2);
+    assert.match(truncated.errors, /^chain\/baselines\/1\/0\.txt - HW4005 /);
+    environment.write("chain/baselines/1/0.txt", chunk);
 
-    // A baseline that is right in itself and differs from the notes.
+    // A baseline that is consistent in itself but differs from the notes.
     const changed = chunk.replace('"burst":100', '"burst":101');
-    bench.write("chain/baselines/1/0.txt", changed);
-    const manifest = bench.read("chain/baseline.json")
+    environment.write("chain/baselines/1/0.txt", changed);
+    const manifest = environment.read("chain/baseline.json")
       .replace(model.createTextDigest(chunk), model.createTextDigest(changed));
-    bench.write("chain/baseline.json", manifest);
-    assert.match((await bench.run("verify", "chain")).errors, /^chain\/baseline\.json - HW4104 /);
+    environment.write("chain/baseline.json", manifest);
+    assert.match(
+      (await environment.run("verify", "chain")).errors,
+      /^chain\/baseline\.json - HW4104 /,
+    );
 
-    const note = bench.read("chain/notes/1.json");
-    bench.write("chain/notes/2.json", note.replace('"number": 1', '"number": 2'));
-    const wrong = await bench.run("verify", "chain");
+    const note = environment.read("chain/notes/1.json");
+    environment.write("chain/notes/2.json", note.replace('"number": 1', '"number": 2'));
+    const wrong = await environment.run("verify", "chain");
     assert.equal(wrong.code, 2);
     assert.match(wrong.errors, /^chain\/notes\/2\.json:\d+:\d+ - HW4001 previous: /);
     fs.renameSync(
-      path.join(bench.folder, "chain/notes/2.json"),
-      path.join(bench.folder, "chain/notes/3.json"),
+      path.join(environment.folder, "chain/notes/2.json"),
+      path.join(environment.folder, "chain/notes/3.json"),
     );
-    assert.match((await bench.run("verify", "chain")).errors, /HW4006 Note 2 is missing\./);
+    assert.match((await environment.run("verify", "chain")).errors, /HW4006 Note 2 is missing\./);
   });
 
-  run("names file, line and field of what is wrong", async (bench) => {
-    bench.write("declared/more.json", {
+  run("reports the file, line and field of an invalid declaration", async (environment) => {
+    environment.write("declared/more.json", {
       workspaces: [{ id: "ghent", rate: 1, burst: 1 }],
       keys: [{ digest: DIGEST, workspace: "ghent" }],
     });
-    const repeated = await bench.run("note", "new", "chain", "declared");
+    const repeated = await environment.run("note", "new", "chain", "declared");
     assert.equal(repeated.code, 2);
-    // Files are read in the order of their names, so the first declaration is in this file.
+    // Files are read in the order of their names, so more.json is read before people.jsonc.
     assert.match(repeated.errors, /^declared\/people\.jsonc:5:5 - HW5001 workspaces\[1\]: /);
     assert.match(repeated.errors, /people\.jsonc:7:12 - HW5001 keys\[0\]: The key /);
 
-    bench.write("declared/more.json", { routes: [{ id: "x", pathPrefix: "x", service: 1 }] });
-    const wrong = await bench.run("note", "new", "chain", "declared");
+    environment.write("declared/more.json", { routes: [{ id: "x", pathPrefix: "x", service: 1 }] });
+    const wrong = await environment.run("note", "new", "chain", "declared");
     assert.match(wrong.errors, /^declared\/more\.json:1:\d+ - HW1003 routes\[0\]\.pathPrefix: /);
 
-    bench.write("declared/more.json", {
+    environment.write("declared/more.json", {
       routes: [{ id: "x", pathPrefix: "/x", service: "nowhere" }],
     });
-    const unknown = await bench.run("note", "new", "chain", "declared");
+    const unknown = await environment.run("note", "new", "chain", "declared");
     assert.match(
       unknown.errors,
       /^chain\/notes\/1\.json:\d+:\d+ - HW3004 added\.routes\[1\]\.service: /,
     );
-    assert.equal(fs.existsSync(path.join(bench.folder, "chain")), false);
+    assert.equal(fs.existsSync(path.join(environment.folder, "chain")), false);
 
-    const missing = await bench.run("check", "nothing.json");
+    const missing = await environment.run("check", "nothing.json");
     assert.equal(missing.code, 2);
     assert.match(missing.errors, /^nothing\.json - HW1004 /);
   });
 
-  run("checks a note against its chain", async (bench) => {
-    await bench.run("note", "new", "chain", "declared");
-    const digest = model.createNoteDigest(bench.read("chain/notes/1.json"));
+  run("checks a note against its chain", async (environment) => {
+    await environment.run("note", "new", "chain", "declared");
+    const digest = model.createNoteDigest(environment.read("chain/notes/1.json"));
     const note = { format: 1, number: 2, previous: digest, withdrawn: { workspaces: ["antwerp"] } };
-    bench.write("next.json", note);
-    assert.equal((await bench.run("check", "next.json")).code, 0);
-    const against = await bench.run("check", "next.json", "--chain", "chain");
+    environment.write("next.json", note);
+    assert.equal((await environment.run("check", "next.json")).code, 0);
+    const against = await environment.run("check", "next.json", "--chain", "chain");
     assert.equal(against.code, 2);
     assert.match(against.errors, /HW3006 withdrawn\.workspaces\[0\]: /);
   });
 
-  run("explains what a request gets", async (bench) => {
-    await bench.run("note", "new", "chain", "declared");
+  run("explains how a request is handled", async (environment) => {
+    await environment.run("note", "new", "chain", "declared");
     const explain = async (...parameters: string[]) =>
-      (await bench.run("explain", "chain", ...parameters)).out;
+      (await environment.run("explain", "chain", ...parameters)).out;
     const served = await explain("--path", "/fines/7", "--key", KEY);
     assert.match(served, /route: fines[^]*service: inspection[^]*rate: 50 a second, burst: 100/);
     assert.doesNotMatch(served, new RegExp(KEY));
@@ -235,44 +244,50 @@
     assert.match(await explain("--path", "/nothing"), /refused: no route matches/);
   });
 
-  run("prints a key once, with its digest", async (bench) => {
-    const { out } = await bench.run("key", "new");
+  run("prints a key once, with its digest", async (environment) => {
+    const { out } = await environment.run("key", "new");
     const [, key = "", digest] = /^key: {4}(\S+)\ndigest: (\S+)\n$/.exec(out) ?? [];
     assert.equal(model.createKeyDigest(key), digest);
   });
 
-  run("tells of forks, refused notes and VMs that do not answer", async (bench) => {
-    const statuses = ["a".repeat(64), "b".repeat(64)].map((digest, index) => ({
-      vm: `vm-${index}`,
-      dataCentre: "north-1",
-      state: "running",
-      configuration: {
-        number: 5,
-        digest,
-        ready: true,
-        highestHeard: 5,
-        platformReader: false,
-        platformContactAgeMilliseconds: 10,
-        forks: [],
-        refusedNotes: index === 0 ? [] : [{ number: 6, digest, findings: ["notes/6 - HW3004"] }],
-      },
-    }));
-    const servers = statuses.map((status) =>
-      http.createServer((_, response) => response.end(JSON.stringify(status)))
-    );
-    for (const server of servers) {
-      await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-    }
-    const [first = "", second = ""] = servers.map((server) =>
-      `127.0.0.1:${(server.address() as net.AddressInfo).port}`
-    );
-    const calm = await bench.run("status", first);
-    assert.deepEqual([calm.code, calm.errors], [0, ""]);
-    const alarmed = await bench.run("status", first, second);
-    assert.equal(alarmed.code, 4);
-    assert.match(alarmed.errors, /vm-1: refused notes\/6 - HW3004\n.*note 5 is another one/);
-    servers.forEach((server) => server.close());
-    const silent = await bench.run("status", "127.0.0.1:9");
-    assert.equal(silent.code, 3);
-  });
+  run(
+    "reports differing digests, refused notes and VMs without a response",
+    async (environment) => {
+      const statuses = ["a".repeat(64), "b".repeat(64)].map((digest, index) => ({
+        vm: `vm-${index}`,
+        dataCentre: "north-1",
+        state: "running",
+        configuration: {
+          number: 5,
+          digest,
+          ready: true,
+          highestHeard: 5,
+          platformReader: false,
+          platformContactAgeMilliseconds: 10,
+          forks: [],
+          refusedNotes: index === 0 ? [] : [{ number: 6, digest, findings: ["notes/6 - HW3004"] }],
+        },
+      }));
+      const servers = statuses.map((status) =>
+        http.createServer((_, response) => response.end(JSON.stringify(status)))
+      );
+      for (const server of servers) {
+        await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
+      }
+      const [first = "", second = ""] = servers.map((server) =>
+        `127.0.0.1:${(server.address() as net.AddressInfo).port}`
+      );
+      const withoutAlarms = await environment.run("status", first);
+      assert.deepEqual([withoutAlarms.code, withoutAlarms.errors], [0, ""]);
+      const withAlarms = await environment.run("status", first, second);
+      assert.equal(withAlarms.code, 4);
+      assert.match(
+        withAlarms.errors,
+        /vm-1: refused notes\/6 - HW3004\n.*note 5 is another one/,
+      );
+      servers.forEach((server) => server.close());
+      const unreachable = await environment.run("status", "127.0.0.1:9");
+      assert.equal(unreachable.code, 3);
+    },
+  );
 });
