--- a/packages/measure/src/child_process_handle.ts
+++ b/packages/measure/src/child_process_handle.ts
@@ -1,5 +1,5 @@
 /**
- * A child process of a demonstration or measurement, ended by its own handle only.
+ * A child process of a demonstration or measurement. Only its handle ends it.
  */
 
 import * as childProcess from "node:child_process";
@@ -13,7 +13,7 @@
   readonly #lines: string[] = [];
   readonly #lineWaiters: (() => void)[] = [];
 
-  /** Starts a module with arguments. Its standard output is kept line by line. */
+  /** Starts a module with arguments and collects the lines of its standard output. */
   constructor(modulePath: string, programArguments: readonly string[]) {
     this.#child = childProcess.spawn(process.execPath, [modulePath, ...programArguments], {
       stdio: ["ignore", "pipe", "inherit"],
@@ -32,7 +32,7 @@
     return this.#lines;
   }
 
-  /** The first line of standard output, such as the address a stand-in listens on. */
+  /** Waits for the first line of standard output, such as the listen address of a stand-in. */
   async readFirstLine(): Promise<string> {
     while (this.#lines[0] === undefined) {
       await new Promise<void>((resolve) => this.#lineWaiters.push(resolve));
@@ -46,7 +46,7 @@
     return this.#exited;
   }
 
-  /** Ends the process at once. */
+  /** Kills the process and waits until it has exited. */
   async kill(): Promise<void> {
     this.#child.kill("SIGKILL");
     await this.#exited;
--- a/packages/measure/src/demo/demo_fleet.ts
+++ b/packages/measure/src/demo/demo_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The fleet of the demonstration: a platform stand-in, target stand-ins and VMs, each target and VM
- * in a process of its own on loopback.
+ * The fleet of the demonstration: a platform stand-in, target stand-ins and VMs on loopback. Each
+ * target and each VM runs in its own process.
  */
 
 import * as fs from "node:fs";
@@ -33,7 +33,7 @@
   readonly process: processes.ChildProcessHandle;
 }
 
-/** Starts, publishes to and stops the fleet. */
+/** Starts and stops the fleet and publishes its release notes. */
 export class DemoFleet {
   readonly platform = new standins.PlatformStandin();
   readonly targets: DemoTarget[] = [];
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Stops everything gracefully and returns the exit codes of the VMs. */
+  /** Stops the VMs gracefully, then the targets and the platform. Returns the VMs' exit codes. */
   async stop(): Promise<(number | undefined)[]> {
     const codes = await Promise.all(this.vms.map((vm) => vm.process.terminate()));
     await Promise.all(this.targets.map((target) => target.process.kill()));
@@ -90,34 +90,34 @@
   }
 
   async #startVms(): Promise<void> {
-    const free = await ports.findFreePorts(VM_COUNT * 3);
+    const freePorts = await ports.findFreePorts(VM_COUNT * 3);
     const secretFile = path.join(this.#folder, "peer-secret");
     fs.writeFileSync(secretFile, "a secret that only this demonstration uses\n");
-    const addresses = free.map((port) => `127.0.0.1:${port}`);
+    const addresses = freePorts.map((port) => `127.0.0.1:${port}`);
     const vms = Array.from({ length: VM_COUNT }, (_, index) => ({
       vm: `vm-${index + 1}`,
       listener: addresses[index * 3] ?? "",
       admin: addresses[index * 3 + 1] ?? "",
       peers: addresses[index * 3 + 2] ?? "",
     }));
-    const listed = vms.map(({ vm, peers }) => ({
+    const listedVms = vms.map(({ vm, peers }) => ({
       vm,
       address: peers,
       dataCentre: "north-1",
       state: "live",
     }));
-    this.platform.publish("vms", JSON.stringify({ vms: listed }));
-    for (const place of vms) {
+    this.platform.publish("vms", JSON.stringify({ vms: listedVms }));
+    for (const vmPlan of vms) {
       const settings = {
-        vm: place.vm,
+        vm: vmPlan.vm,
         dataCentre: "north-1",
-        listener: { address: place.listener },
-        admin: { address: place.admin },
+        listener: { address: vmPlan.listener },
+        admin: { address: vmPlan.admin },
         platform: { addresses: [this.platform.address] },
         peers: {
-          address: place.peers,
+          address: vmPlan.peers,
           secretFile,
-          seeds: listed.map(({ vm, address, dataCentre }) => ({ vm, address, dataCentre })),
+          seeds: listedVms.map(({ vm, address, dataCentre }) => ({ vm, address, dataCentre })),
         },
       };
       this.vms.push(this.#startVm(settings));
@@ -163,7 +163,7 @@
     const body = await status.json() as { configuration: { number: number } | null };
     return ready.ok && body.configuration?.number === number;
   } catch {
-    // The VM does not listen yet.
+    // The VM is not listening yet.
     return false;
   }
 }
--- a/packages/measure/src/demo/demo_main.ts
+++ b/packages/measure/src/demo/demo_main.ts
@@ -1,6 +1,6 @@
 /**
- * The demonstration: a release note, real requests, a refused one, a withdrawn key and a killed
- * target, with a readable summary. Exits with 0 only when everything went as it must.
+ * The demonstration: publishes a release note, sends requests including refused ones, withdraws a
+ * key, kills a target, and prints a summary. Exits with 0 only if all expectations are met.
  */
 
 import process from "node:process";
@@ -9,19 +9,19 @@
 import * as demoFleet from "./demo_fleet.ts";
 
 const INSPECTOR_KEY = "demonstration-key-of-the-inspectors";
-const DESK_KEY = "demonstration-key-of-the-permit-desk";
+const PERMIT_DESK_KEY = "demonstration-key-of-the-permit-desk";
 
-/** Within this time a withdrawn key must have stopped working. */
+/** Time after publication by which a withdrawn key must be refused. */
 const WITHDRAWAL_BOUND_MILLISECONDS = 4_000;
 
 const REQUESTS_PER_VM = 10;
 
-/** Long enough for a new VM's limits to come into force. */
+/** Longest wait until the rate limits of new VMs are in force. */
 const LIMITS_WAIT_MILLISECONDS = 20_000;
 
 interface Expectation {
-  readonly sentence: string;
-  readonly holds: boolean;
+  readonly description: string;
+  readonly isMet: boolean;
 }
 
 interface Answer {
@@ -30,8 +30,8 @@
   readonly reason: string | undefined;
 }
 
-/** Tells the story of the demonstration and keeps what it was expected to show. */
-class DemoStory {
+/** Runs the steps of the demonstration and records which expectations are met. */
+class Demonstration {
   readonly fleet = new demoFleet.DemoFleet();
   readonly #expectations: Expectation[] = [];
 
@@ -62,7 +62,7 @@
         ],
         keys: [
           { digest: model.createKeyDigest(INSPECTOR_KEY), workspace: "inspectors" },
-          { digest: model.createKeyDigest(DESK_KEY), workspace: "permit-desk" },
+          { digest: model.createKeyDigest(PERMIT_DESK_KEY), workspace: "permit-desk" },
         ],
         services: [{ id: "inspection", slots: 6, connections: 330, floor: 0.6 }],
         targets: this.fleet.targets.map((target) => ({
@@ -91,14 +91,14 @@
     this.#expect(`${served} of ${total} requests were served through 3 VMs.`, served === total);
   }
 
-  /** A VM that has just started has no tokens and says so, with a time to come back. */
+  /** Waits until all VMs serve requests. A VM that has just started refuses them without tokens. */
   async #waitForLimits(): Promise<void> {
     const deadline = performance.now() + LIMITS_WAIT_MILLISECONDS;
     for (const vm of this.fleet.vms) {
-      let quiet = 0;
-      while (quiet < REQUESTS_PER_VM && performance.now() < deadline) {
+      let consecutiveSuccesses = 0;
+      while (consecutiveSuccesses < REQUESTS_PER_VM && performance.now() < deadline) {
         const answer = await send(vm, INSPECTOR_KEY, "GET");
-        quiet = answer.status === 200 ? quiet + 1 : 0;
+        consecutiveSuccesses = answer.status === 200 ? consecutiveSuccesses + 1 : 0;
         await kernel.sleep(20);
       }
     }
@@ -109,32 +109,32 @@
     if (vm === undefined) {
       return;
     }
-    const unknown = await send(vm, "no-such-key", "POST");
+    const unknownKey = await send(vm, "no-such-key", "POST");
     this.#expect(
-      `An unknown key is refused: ${describe(unknown)}.`,
-      unknown.status === 401 && unknown.run === "no",
+      `An unknown key is refused: ${describe(unknownKey)}.`,
+      unknownKey.status === 401 && unknownKey.run === "no",
     );
-    const nowhere = await send(vm, INSPECTOR_KEY, "GET", "/nowhere");
+    const unrouted = await send(vm, INSPECTOR_KEY, "GET", "/nowhere");
     this.#expect(
-      `A path without a route is refused: ${describe(nowhere)}.`,
-      nowhere.status === 404 && nowhere.run === "no",
+      `A path without a route is refused: ${describe(unrouted)}.`,
+      unrouted.status === 404 && unrouted.run === "no",
     );
   }
 
   async #withdrawKey(): Promise<void> {
     this.fleet.publish({
       title: "The key of the permit desk is withdrawn.",
-      withdrawn: { keys: [model.createKeyDigest(DESK_KEY)] },
+      withdrawn: { keys: [model.createKeyDigest(PERMIT_DESK_KEY)] },
     });
     const published = performance.now();
     let stopped = 0;
     for (const vm of this.fleet.vms) {
-      let answer = await send(vm, DESK_KEY, "GET");
+      let answer = await send(vm, PERMIT_DESK_KEY, "GET");
       while (
         answer.status !== 401 && performance.now() - published < WITHDRAWAL_BOUND_MILLISECONDS
       ) {
         await kernel.sleep(10);
-        answer = await send(vm, DESK_KEY, "GET");
+        answer = await send(vm, PERMIT_DESK_KEY, "GET");
       }
       stopped += answer.status === 401 ? 1 : 0;
     }
@@ -146,8 +146,8 @@
   }
 
   async #killTarget(): Promise<void> {
-    const victim = this.fleet.targets[0];
-    await victim?.process.kill();
+    const killedTarget = this.fleet.targets[0];
+    await killedTarget?.process.kill();
     let served = 0;
     let refusedWithoutRun = 0;
     for (const vm of this.fleet.vms) {
@@ -166,15 +166,15 @@
     );
   }
 
-  #expect(sentence: string, holds: boolean): void {
-    this.#expectations.push({ sentence, holds });
-    print(`${holds ? "ok  " : "FAIL"}  ${sentence}`);
+  #expect(description: string, isMet: boolean): void {
+    this.#expectations.push({ description, isMet });
+    print(`${isMet ? "ok  " : "FAIL"}  ${description}`);
   }
 
   #summarize(): boolean {
-    const failed = this.#expectations.filter((expectation) => !expectation.holds).length;
-    const held = this.#expectations.length - failed;
-    print(`\nSummary: ${held} of ${this.#expectations.length} expectations held.`);
+    const failed = this.#expectations.filter((expectation) => !expectation.isMet).length;
+    const metCount = this.#expectations.length - failed;
+    print(`\nSummary: ${metCount} of ${this.#expectations.length} expectations met.`);
     return failed === 0;
   }
 }
@@ -204,4 +204,4 @@
   process.stdout.write(`${line}\n`);
 }
 
-process.exitCode = await new DemoStory().run() ? 0 : 1;
+process.exitCode = await new Demonstration().run() ? 0 : 1;
--- a/packages/measure/src/deployments.ts
+++ b/packages/measure/src/deployments.ts
@@ -1,13 +1,13 @@
 /**
- * The deployments of the two first users.
+ * The deployments of the first two users.
  */
 
 import type * as types from "./types.ts";
 
-/** Rates of the 8 workspaces of a deployment, in requests a second: a few large, most small. */
+/** Rates of the workspaces of a deployment in requests per second. Most of them are small. */
 const WORKSPACE_RATES = [120, 80, 60, 30, 12, 6, 4, 2] as const;
 
-/** A burst holds the rate of this many seconds. */
+/** The burst of a workspace, as the number of seconds at its rate. */
 const BURST_SECONDS = 2;
 
 const VM_COUNT = 40;
@@ -91,12 +91,12 @@
   [pitchwise, huron].map((deployment) => [deployment.id, deployment]),
 );
 
-/** Identifier of a target of a service; numbers start at 1. */
+/** Returns the identifier of a target of a service. Numbers start at 1. */
 export function getTargetId(service: types.ServicePlan, number: number): string {
   return `${service.id}-${number}`;
 }
 
-/** The data centre of the VM or target with the given index; they take turns. */
+/** Returns the data centre of the VM or target with the given index, assigned round-robin. */
 export function getDataCentre(deployment: types.DeploymentPlan, index: number): string {
   return deployment.dataCentres[index % deployment.dataCentres.length] ?? "";
 }
--- a/packages/measure/src/emulator/caller_host_main.ts
+++ b/packages/measure/src/emulator/caller_host_main.ts
@@ -1,6 +1,6 @@
 /**
- * A worker that sends an open-loop load: each request starts at its intended time, however slow the
- * answers to earlier ones are.
+ * A worker that sends an open-loop load: each request starts at its intended time, regardless of
+ * the latency of earlier ones.
  */
 
 import * as undici from "undici";
@@ -10,7 +10,7 @@
 import * as emulatedTarget from "./emulated_target.ts";
 import * as worker from "./worker.ts";
 
-/** A caller gives up after this time. */
+/** Timeout of a caller for the header and between parts of the body. */
 const CALLER_TIMEOUT_MILLISECONDS = 15_000;
 
 const WRITE_BODY = "a booking, a fine, a hold or a release";
@@ -71,16 +71,16 @@
     }
     const rate = this.#plan.deployment.workspaces[workspace]?.rate ?? 0;
     const perSecond = rate * this.#plan.load * (this.#factors[workspace] ?? 1) / this.#plan.stride;
-    const intended = previous + stream.nextExponential(1_000 / perSecond);
+    const intendedStart = previous + stream.nextExponential(1_000 / perSecond);
     const timer = setTimeout(() => {
       this.#timers.delete(timer);
-      this.#scheduleNext(workspace, stream, intended);
-      this.#launch(workspace, stream, intended);
-    }, intended - (performance.now() - this.#start));
+      this.#scheduleNext(workspace, stream, intendedStart);
+      this.#startRequest(workspace, stream, intendedStart);
+    }, intendedStart - (performance.now() - this.#start));
     this.#timers.add(timer);
   }
 
-  #launch(workspace: number, stream: random.RandomStream, intended: number): void {
+  #startRequest(workspace: number, stream: random.RandomStream, intendedStart: number): void {
     this.#lastNumber++;
     const { deployment, stride, offset, writes } = this.#plan;
     const request = {
@@ -88,11 +88,11 @@
       workspace,
       service: stream.nextIndex(deployment.services.length),
       idempotent: stream.nextUniform() >= writes,
-      startMilliseconds: intended,
+      startMilliseconds: intendedStart,
     };
     const listener = this.#listeners[stream.nextIndex(this.#listeners.length)] ?? "";
     const sent = this.#send(request, listener).then((answer) => {
-      const latencyMilliseconds = performance.now() - this.#start - intended +
+      const latencyMilliseconds = performance.now() - this.#start - intendedStart +
         2 * deployment.callerDelayMilliseconds;
       this.records.push({ ...request, ...answer, latencyMilliseconds });
       this.#running.delete(sent);
--- a/packages/measure/src/emulator/commands.ts
+++ b/packages/measure/src/emulator/commands.ts
@@ -1,25 +1,25 @@
 /**
- * Commands from the experiment to its worker processes, and what they answer.
+ * Commands from the experiment to its worker processes, and their answers.
  */
 
 import type * as types from "../types.ts";
 
-/** A VM that a worker runs. */
+/** Addresses and identity of a VM that a worker runs. */
 export interface VmPlan {
   readonly vm: string;
   readonly dataCentre: string;
   readonly listener: string;
   readonly admin: string;
-  /** Where other VMs reach this one: a relay that can lose messages. */
+  /** Address at which other VMs reach this one: a relay that can drop messages. */
   readonly peers: string;
-  /** Its own peer listener, behind the relay. */
+  /** Address of the VM's own peer listener, behind the relay. */
   readonly peerListener: string;
 }
 
 /** Which implementations the VMs use. */
 export type Variant = "built" | "baseline";
 
-/** What a VM host tells of one VM. */
+/** State of one VM, as its host reports it. */
 export interface VmReport {
   readonly vm: string;
   readonly ready: boolean;
@@ -32,26 +32,26 @@
 /** An ejection that a VM logged. */
 export interface EjectionRecord {
   readonly vm: string;
-  /** `coordinator` for the whole fleet, `local` for the VM alone. */
+  /** `coordinator` for an ejection by the whole fleet, `local` for one by this VM alone. */
   readonly judge: string;
   readonly target: string;
   readonly fault: string;
   readonly scope: string;
 }
 
-/** What a worker tells of its process. */
+/** Resources that a worker process has used. */
 export interface ProcessReport {
   readonly cpuMilliseconds: number;
   readonly residentBytes: number;
 }
 
-/** Load that a caller host sends. */
+/** The load that a caller host sends. */
 export interface LoadPlan {
   readonly seed: number;
   readonly deployment: types.DeploymentPlan;
-  /** Listener addresses of the VMs that the balancer knows. */
+  /** Listener addresses of the VMs on the balancer's list. */
   readonly listeners: readonly string[];
-  /** Share of its rate that each workspace sends. */
+  /** Load of each workspace as a share of its rate. */
   readonly load: number;
   /** Share of requests that are not idempotent. */
   readonly writes: number;
@@ -60,7 +60,7 @@
   readonly stride: number;
 }
 
-/** What all targets of a host saw. */
+/** Everything that the targets of a host received and ran. */
 export interface TargetRecords {
   readonly runs: readonly types.RunRecord[];
   readonly attempts: readonly types.AttemptRecord[];
@@ -79,7 +79,7 @@
   };
   readonly stopVm: { readonly request: { readonly vm: string }; readonly answer: undefined };
   readonly cutDataCentres: {
-    /** IP numbers of the data centres. */
+    /** IP addresses of the data centres. */
     readonly request: { readonly from: string; readonly to: string; readonly cut: boolean };
     readonly answer: undefined;
   };
@@ -121,21 +121,21 @@
 /** The name of a command. */
 export type CommandName = keyof Commands;
 
-/** Handlers of the commands that one kind of worker knows. */
+/** Handlers of the commands that one kind of worker supports. */
 export type CommandHandlers = {
   readonly [Name in CommandName]?: (
     request: Commands[Name]["request"],
   ) => Promise<Commands[Name]["answer"]> | Commands[Name]["answer"];
 };
 
-/** A command on its way to a worker. */
+/** A command as it is sent to a worker. */
 export interface CommandMessage {
   readonly id: number;
   readonly name: CommandName;
   readonly request: unknown;
 }
 
-/** The answer of a worker. */
+/** A worker's answer to a command. */
 export interface AnswerMessage {
   readonly id: number;
   readonly answer?: unknown;
--- a/packages/measure/src/emulator/ejection_log.ts
+++ b/packages/measure/src/emulator/ejection_log.ts
@@ -1,14 +1,14 @@
 /**
- * Collects from the logs of VMs which targets were ejected.
+ * Collects the ejections of targets from the logs of VMs.
  */
 
 import bunyan from "bunyan";
 import type * as commands from "./commands.ts";
 
-/** The sentence by which a VM says that it put a target out of use. */
-const EJECTION_SENTENCE = "targets: A target is ejected.";
+/** Message of the log line that a VM writes when it ejects a target. */
+const EJECTION_MESSAGE = "targets: A target is ejected.";
 
-/** Creates loggers whose lines are searched instead of written. */
+/** Creates loggers that record ejections instead of writing their lines. */
 export class EjectionLog {
   readonly ejections: commands.EjectionRecord[] = [];
 
@@ -23,7 +23,7 @@
   }
 
   #read(line: Record<string, unknown>): void {
-    if (line["msg"] !== EJECTION_SENTENCE) {
+    if (line["msg"] !== EJECTION_MESSAGE) {
       return;
     }
     this.ejections.push({
--- a/packages/measure/src/emulator/emulated_target.ts
+++ b/packages/measure/src/emulator/emulated_target.ts
@@ -1,6 +1,6 @@
 /**
- * An emulated target: slots, a service time that varies, load shedding, delays of the network, and
- * the faults that a scenario asks for. It counts each run of each request.
+ * An emulated target with slots, a random service time, load shedding, network delay, and the
+ * faults of a scenario. It reports each run of each request to an observer.
  */
 
 import * as http from "node:http";
@@ -11,22 +11,22 @@
 /** Header that carries the identifier of a request. */
 export const REQUEST_ID_HEADER = "measure-request";
 
-/** Header and value by which a target says that it did not run a request. */
+/** Header and value by which a target signals that it did not run a request. */
 export const NOT_RUN_HEADER = "target-not-run";
 export const NOT_RUN_VALUE = "shed";
 
-/** Requests beyond the slots that wait in the target, as a multiple of the slots. */
+/** Maximum length of the target's request queue, as a multiple of its slots. */
 const QUEUE_FACTOR = 2;
 
 const SERVICE_TIME_SIGMA = 0.35;
 
 const BODY_BYTES = 512;
 
-/** Learns what reaches the targets of a host. */
+/** Records what reaches the targets of a host. */
 export interface TargetObserver {
-  /** A request or a connection has reached a target. */
+  /** Called when a request, or a connection that is closed immediately, has reached a target. */
   recordAttempt(target: string): void;
-  /** A target has begun to run the request with the given identifier. */
+  /** Called when a target starts to run the request with the given identifier. */
   recordRun(target: string, id: number): void;
 }
 
@@ -71,7 +71,7 @@
     await new Promise<void>((resolve) => this.#server.listen(0, "127.0.0.1", resolve));
   }
 
-  /** Begins or, with undefined, ends a fault. */
+  /** Starts a fault, or ends the current one if the argument is undefined. */
   setFault(fault: types.TargetFault | undefined): void {
     this.#fault = fault;
     this.#faultStart = performance.now();
@@ -119,19 +119,19 @@
     const id = Number(request.headers[REQUEST_ID_HEADER]);
     this.#running++;
     this.#observer.recordRun(this.id, id);
-    const slow = this.#fault?.kind === "slow" ? this.#fault.factor : 1;
-    const serviceTime = slow *
+    const slowdownFactor = this.#fault?.kind === "slow" ? this.#fault.factor : 1;
+    const serviceTime = slowdownFactor *
       this.#random.nextLogNormal(this.#serviceTimeMilliseconds, SERVICE_TIME_SIGMA);
     setTimeout(() => {
       this.#running--;
       this.#waiting.shift()?.();
-      this.#finish(id, response);
+      this.#respond(id, response);
     }, serviceTime + 2 * this.#delayMilliseconds);
   }
 
-  #finish(id: number, response: http.ServerResponse): void {
+  #respond(id: number, response: http.ServerResponse): void {
     const body = `${id} `.padEnd(BODY_BYTES, ".");
-    if (this.#isErring()) {
+    if (this.#shouldFail()) {
       response.writeHead(500);
       response.end("error");
       return;
@@ -144,7 +144,7 @@
     response.end(body);
   }
 
-  #isErring(): boolean {
+  #shouldFail(): boolean {
     const fault = this.#fault;
     if (fault?.kind === "errors") {
       return this.#random.nextUniform() < fault.share;
--- a/packages/measure/src/emulator/peer_relay.ts
+++ b/packages/measure/src/emulator/peer_relay.ts
@@ -1,32 +1,32 @@
 /**
- * A relay in front of one VM's peer listener, which can lose what one data centre sends.
+ * A relay in front of one VM's peer listener that can drop traffic from a data centre.
  *
- * VMs of each data centre have an IP number of their own on loopback, by which the relay knows where
- * a connection comes from. A cut keeps connections open and loses their bytes, one way.
+ * The VMs of each data centre share a loopback IP address, by which the relay identifies the source
+ * of a connection. A cut keeps connections open and drops their bytes in one direction.
  */
 
 import * as net from "node:net";
 
-/** The IP number on loopback that stands for a data centre, by its position. */
+/** Returns the loopback IP address of the data centre at the given position. */
 export function getDataCentreAddress(position: number): string {
   return `127.0.${position + 1}.1`;
 }
 
-/** Tells whether what one data centre sends to another is lost. Both are IP numbers. */
-export type CutTest = (from: string, to: string) => boolean;
+/** Whether traffic from one data centre to another is dropped. Both are IP addresses. */
+export type CutPredicate = (from: string, to: string) => boolean;
 
 /** Forwards connections to a VM's peer listener. */
 export class PeerRelay {
   readonly #host: string;
-  readonly #isCut: CutTest;
+  readonly #isCut: CutPredicate;
   readonly #sockets = new Set<net.Socket>();
   readonly #server: net.Server;
 
   /**
-   * @param host IP number of the VM's data centre.
+   * @param host IP address of the VM's data centre.
    * @param listenerPort Port of the VM's peer listener.
    */
-  constructor(host: string, listenerPort: number, isCut: CutTest) {
+  constructor(host: string, listenerPort: number, isCut: CutPredicate) {
     this.#host = host;
     this.#isCut = isCut;
     this.#server = net.createServer((socket) => this.#relay(socket, listenerPort));
@@ -46,11 +46,11 @@
   #relay(incoming: net.Socket, listenerPort: number): void {
     const from = incoming.remoteAddress ?? "";
     const outgoing = net.connect({ port: listenerPort, host: this.#host });
-    this.#pass(incoming, outgoing, () => this.#isCut(from, this.#host));
-    this.#pass(outgoing, incoming, () => this.#isCut(this.#host, from));
+    this.#forward(incoming, outgoing, () => this.#isCut(from, this.#host));
+    this.#forward(outgoing, incoming, () => this.#isCut(this.#host, from));
   }
 
-  #pass(source: net.Socket, destination: net.Socket, isCut: () => boolean): void {
+  #forward(source: net.Socket, destination: net.Socket, isCut: () => boolean): void {
     this.#sockets.add(source);
     source.setNoDelay(true);
     source.on("data", (bytes) => {
--- a/packages/measure/src/emulator/vm_host_main.ts
+++ b/packages/measure/src/emulator/vm_host_main.ts
@@ -1,5 +1,5 @@
 /**
- * A worker that runs several VMs, each a kernel of its own.
+ * A worker that runs several VMs, each with its own kernel.
  */
 
 import * as configuration from "@hemlockwalk/configuration";
@@ -19,7 +19,7 @@
 const cuts = new Set<string>();
 const ejectionLog = new ejectionLogs.EjectionLog();
 
-/** The parts that the design is measured against: static shares, turns, no detection. */
+/** The parts of the baseline variant: static shares, arrival order, round-robin, no detection. */
 const BASELINE_PARTS: Partial<daemon.VirtualMachineParts> = {
   createRateLimiter: (services) =>
     new limits.StaticShareLimiter(services.get(configuration.CONFIGURATION)),
@@ -34,7 +34,10 @@
 };
 
 function splitAddress(address: string): { readonly host: string; readonly port: number } {
-  return kernel.getDefined(model.splitSocketAddress(address), "Plans hold whole addresses.");
+  return kernel.getDefined(
+    model.splitSocketAddress(address),
+    "The addresses of a plan have a host and a port.",
+  );
 }
 
 async function startRelay(plan: commands.VmPlan): Promise<void> {
--- a/packages/measure/src/emulator/worker.ts
+++ b/packages/measure/src/emulator/worker.ts
@@ -1,5 +1,5 @@
 /**
- * The worker's side of commands: a process that the experiment started.
+ * The worker's side of the commands. A worker is a process that the experiment started.
  */
 
 import process from "node:process";
@@ -10,7 +10,7 @@
   process.on("message", (message: commands.CommandMessage) => {
     void answerCommand(handlers, message);
   });
-  // A worker must not outlive an experiment that ended without stopping it.
+  // Without this, workers would keep running if the experiment ended without stopping them.
   process.on("disconnect", () => process.exit(1));
 }
 
@@ -22,7 +22,7 @@
   let answer: commands.AnswerMessage;
   try {
     if (handler === undefined) {
-      throw new Error(`This worker does not know the command '${message.name}'.`);
+      throw new Error(`This worker has no handler for the command '${message.name}'.`);
     }
     answer = { id: message.id, answer: await handler(message.request) };
   } catch (error) {
@@ -31,7 +31,7 @@
   process.send?.(answer);
 }
 
-/** What the process has used so far. */
+/** Returns the processor time and the memory that the process has used so far. */
 export function getProcessReport(): commands.ProcessReport {
   const usage = process.cpuUsage();
   return {
--- a/packages/measure/src/emulator/worker_handle.ts
+++ b/packages/measure/src/emulator/worker_handle.ts
@@ -11,14 +11,14 @@
   readonly reject: (error: Error) => void;
 }
 
-/** A worker process. It is ended by this handle only. */
+/** A worker process. Only this handle ends it. */
 export class WorkerHandle {
   readonly #child: childProcess.ChildProcess;
   readonly #pending = new Map<number, PendingCommand>();
   readonly #exited: Promise<void>;
   #lastId = 0;
 
-  /** Starts a worker from a module beside this one, such as `vm_host_main.js`. */
+  /** Starts a worker from a module in this folder, such as `vm_host_main.js`. */
   constructor(module: string) {
     const modulePath = url.fileURLToPath(new URL(module, import.meta.url));
     this.#child = childProcess.fork(modulePath, [], { serialization: "advanced" });
@@ -48,7 +48,7 @@
     });
   }
 
-  /** Keeps the process from running until `resume`. */
+  /** Suspends the process until `resume` is called. */
   pause(): void {
     this.#child.kill("SIGSTOP");
   }
@@ -57,7 +57,7 @@
     this.#child.kill("SIGCONT");
   }
 
-  /** Ends the process at once. */
+  /** Kills the process and waits until it has exited. */
   async kill(): Promise<void> {
     this.#child.kill("SIGKILL");
     await this.#exited;
@@ -75,7 +75,7 @@
 
   #rejectPending(): void {
     for (const pending of this.#pending.values()) {
-      pending.reject(new Error("The worker has ended."));
+      pending.reject(new Error("The worker process has exited."));
     }
     this.#pending.clear();
   }
--- a/packages/measure/src/experiment/analysis.ts
+++ b/packages/measure/src/experiment/analysis.ts
@@ -1,5 +1,5 @@
 /**
- * What a run of a scenario means in the users' measures.
+ * Computes the measures of a scenario run from the collected data.
  */
 
 import * as deployments from "../deployments.ts";
@@ -15,20 +15,20 @@
 export interface DetectionResult {
   readonly target: string;
   readonly fault: string;
-  /** Undefined when the target was not avoided before the end of the fault. */
+  /** Undefined if the target was not avoided before the end of the fault. */
   readonly milliseconds: number | undefined;
 }
 
-/** How one workspace fared. */
+/** The measures of one workspace. */
 export interface WorkspaceResult {
   readonly workspace: string;
   readonly arrivals: number;
   readonly served: number;
-  /** Share of what the single bucket would have admitted that was served. */
+  /** Served requests as a share of those that the oracle's token bucket admits. */
   readonly servedShare: number;
   readonly latencyP50Milliseconds: number;
   readonly latencyP99Milliseconds: number;
-  /** Refusals over the rate less those of the single bucket. */
+  /** Rate refusals in excess of those of the oracle's token bucket. */
   readonly refusedWithinRate: number;
   readonly overshoot: number;
 }
@@ -50,13 +50,13 @@
   readonly worstLatencyP99Milliseconds: number;
   readonly highestOvershoot: number;
   readonly detections: readonly DetectionResult[];
-  /** Ejections for the whole fleet of targets that had no fault. */
+  /** Fleet-wide ejections of targets that had no fault. */
   readonly falseEjections: number;
-  /** Targets without a fault that single VMs avoided for a while. */
+  /** Ejections by single VMs, for themselves alone, of targets that had no fault. */
   readonly falseAvoidances: number;
   readonly ejections: readonly commands.EjectionRecord[];
   readonly runMoreThanOnce: number;
-  /** Requests that were answered "not run" but ran. */
+  /** Requests whose response said "not run" although a target ran them. */
   readonly falseNotRun: number;
   readonly answersLost: number;
   readonly answersMixed: number;
@@ -85,7 +85,7 @@
 ): ExperimentResult {
   const workspaces = data.deployment.workspaces.map((_, index) => analyzeWorkspace(data, index));
   const served = data.records.filter(isServed);
-  const worst = findWorst(workspaces, data.scenario);
+  const worst = findWorstServedWorkspace(workspaces, data.scenario);
   const refusedWithinRate = sum(workspaces.map((result) => result.refusedWithinRate));
   const seconds = data.scenario.durationSeconds;
   return {
@@ -105,7 +105,7 @@
       ...workspaces.map((result) => result.latencyP99Milliseconds),
     ),
     highestOvershoot: Math.max(...workspaces.map((result) => result.overshoot)),
-    detections: data.scenario.events.flatMap((event) => detectFault(data, event)),
+    detections: data.scenario.events.flatMap((event) => measureDetection(data, event)),
     falseEjections: countFalseEjections(data, "coordinator"),
     falseAvoidances: countFalseEjections(data, "local"),
     ejections: data.ejections,
@@ -123,23 +123,23 @@
 }
 
 function analyzeWorkspace(data: experiment.ExperimentData, index: number): WorkspaceResult {
-  const verdict = oracle.judgeWorkspace(data.deployment, index, data.records);
+  const oracleResult = oracle.evaluateWorkspace(data.deployment, index, data.records);
   const served = data.records.filter((record) => record.workspace === index && isServed(record));
-  const owed = verdict.arrivals - verdict.refusedByOracle;
+  const admittedByOracle = oracleResult.arrivals - oracleResult.refusedByOracle;
   return {
     workspace: data.deployment.workspaces[index]?.id ?? "",
-    arrivals: verdict.arrivals,
+    arrivals: oracleResult.arrivals,
     served: served.length,
-    servedShare: owed === 0 ? 1 : served.length / owed,
+    servedShare: admittedByOracle === 0 ? 1 : served.length / admittedByOracle,
     latencyP50Milliseconds: getLatencyQuantile(served, 0.5),
     latencyP99Milliseconds: getLatencyQuantile(served, 0.99),
-    refusedWithinRate: Math.max(0, verdict.refusedByFleet - verdict.refusedByOracle),
-    overshoot: verdict.overshoot,
+    refusedWithinRate: Math.max(0, oracleResult.refusedByFleet - oracleResult.refusedByOracle),
+    overshoot: oracleResult.overshoot,
   };
 }
 
-/** The worst served of the workspaces whose key was not withdrawn. */
-function findWorst(
+/** Finds the workspace with the lowest served share, except those whose key was withdrawn. */
+function findWorstServedWorkspace(
   workspaces: readonly WorkspaceResult[],
   scenario: scenarios.Scenario,
 ): WorkspaceResult | undefined {
@@ -150,7 +150,7 @@
     .sort((left, right) => left.servedShare - right.servedShare)[0];
 }
 
-function detectFault(
+function measureDetection(
   data: experiment.ExperimentData,
   event: scenarios.ScenarioEvent,
 ): DetectionResult[] {
@@ -174,7 +174,7 @@
 }
 
 function countFalseEjections(data: experiment.ExperimentData, judge: string): number {
-  const faulty = new Set(data.scenario.events.flatMap((event) => {
+  const faultyTargets = new Set(data.scenario.events.flatMap((event) => {
     const service = event.kind === "target_fault"
       ? data.deployment.services[event.service]
       : undefined;
@@ -183,7 +183,7 @@
       : [];
   }));
   return data.ejections.filter((ejection) =>
-    ejection.judge === judge && !faulty.has(ejection.target)
+    ejection.judge === judge && !faultyTargets.has(ejection.target)
   ).length;
 }
 
@@ -201,7 +201,7 @@
   return { runMoreThanOnce: repeated.length, falseNotRun: falseNotRun.length };
 }
 
-/** From the publication of a withdrawal to the last request that was served with the key. */
+/** Time from the publication of a withdrawal to the latest start of a request that was served. */
 function getWithdrawalMilliseconds(data: experiment.ExperimentData): number | undefined {
   const event = data.scenario.events.find((candidate) => candidate.kind === "withdraw_key");
   if (event?.kind !== "withdraw_key") {
@@ -244,7 +244,7 @@
   return counts;
 }
 
-/** Why a request was not served. */
+/** Returns the reason why a request was not served. */
 function getFailureReason(record: types.RequestRecord): string {
   if (record.reason !== "") {
     return record.reason;
--- a/packages/measure/src/experiment/detection.ts
+++ b/packages/measure/src/experiment/detection.ts
@@ -1,21 +1,21 @@
 /**
- * How long a failing target went on receiving requests, seen from outside: from the requests and
- * connections that reached the targets.
+ * Measures how long a failing target kept receiving requests. The measurement uses only the
+ * requests and connections that reached the targets, not the state of the VMs.
  */
 
 import type * as types from "../types.ts";
 
-/** A target counts as avoided when it gets less than this share of its fair part. */
+/** A target counts as avoided if it receives less than this fraction of its fair share. */
 const AVOIDED_SHARE = 0.25;
 
 const WINDOW_MILLISECONDS = 1_000;
 const STEP_MILLISECONDS = 100;
 
 /**
- * Milliseconds from the start of a fault until the target was avoided for a whole window; undefined
- * when it never was.
+ * Returns the time from the start of a fault to the start of the first window in which the target
+ * was avoided; undefined if there is none.
  *
- * @param attempts What reached the targets of the service.
+ * @param attempts Requests and connections that reached the targets of the service.
  */
 export function getDetectionMilliseconds(
   attempts: readonly types.AttemptRecord[],
@@ -30,11 +30,11 @@
     start += STEP_MILLISECONDS
   ) {
     const end = start + WINDOW_MILLISECONDS;
-    const inWindow = attempts.filter((attempt) =>
+    const windowAttempts = attempts.filter((attempt) =>
       attempt.startMilliseconds >= start && attempt.startMilliseconds < end
     );
-    const own = inWindow.filter((attempt) => attempt.target === target).length;
-    if (own < inWindow.length / targetCount * AVOIDED_SHARE) {
+    const targetAttempts = windowAttempts.filter((attempt) => attempt.target === target).length;
+    if (targetAttempts < windowAttempts.length / targetCount * AVOIDED_SHARE) {
       return start - fromMilliseconds;
     }
   }
--- a/packages/measure/src/experiment/experiment.ts
+++ b/packages/measure/src/experiment/experiment.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one scenario on one deployment, with real sockets on loopback.
+ * Runs one scenario on one deployment, over real sockets on loopback.
  */
 
 import * as fs from "node:fs";
@@ -14,18 +14,18 @@
 import * as releaseNotes from "./release_note.ts";
 import * as vmFleet from "./vm_fleet.ts";
 
-const CALLER_HOSTS = 2;
+const CALLER_HOST_COUNT = 2;
 
-/** After the load, requests that still run may end. */
+/** Time after the end of the load in which running requests can end. */
 const COOL_DOWN_MILLISECONDS = 1_000;
 
-/** What one run of a scenario yielded. */
+/** The data collected in one run of a scenario. */
 export interface ExperimentData {
   readonly deployment: types.DeploymentPlan;
   readonly scenario: scenarios.Scenario;
   readonly seed: number;
   readonly variant: commands.Variant;
-  /** Requests that started after the warm-up; times count from its end. */
+  /** Requests that started after the warm-up. Times are relative to its end. */
   readonly records: readonly types.RequestRecord[];
   readonly runs: readonly types.RunRecord[];
   readonly attempts: readonly types.AttemptRecord[];
@@ -46,7 +46,7 @@
   readonly #fleet: vmFleet.VmFleet;
   readonly #targetHost = new workerHandle.WorkerHandle("target_host_main.js");
   readonly #callerHosts = Array.from(
-    { length: CALLER_HOSTS },
+    { length: CALLER_HOST_COUNT },
     () => new workerHandle.WorkerHandle("caller_host_main.js"),
   );
   #lastNote: releaseNotes.NoteText | undefined;
@@ -66,7 +66,7 @@
     this.#fleet = new vmFleet.VmFleet(deployment, variant, secretFile);
   }
 
-  /** Runs the scenario from the start of the fleet to its end. */
+  /** Starts the fleet, runs the scenario and stops the fleet. */
   async run(): Promise<ExperimentData> {
     try {
       await this.#startFleet();
@@ -96,24 +96,24 @@
     await kernel.sleep(warmUp);
     const cpuBefore = await this.#fleet.getCpuMilliseconds();
     const start = performance.now();
-    await this.#playEvents(start);
+    await this.#runEvents(start);
     await waitUntil(start + this.#scenario.durationSeconds * 1_000);
     const vmCpuMilliseconds = await this.#fleet.getCpuMilliseconds() - cpuBefore;
     const records = await this.#stopLoad();
     await kernel.sleep(COOL_DOWN_MILLISECONDS);
-    const seen = await this.#targetHost.call("takeRecords", undefined);
+    const targetRecords = await this.#targetHost.call("takeRecords", undefined);
     return {
       deployment: this.#deployment,
       scenario: this.#scenario,
       seed: this.#seed,
       variant: this.#variant,
       records: shiftTimes(records, warmUp).filter((record) => record.startMilliseconds >= 0),
-      runs: shiftTimes(seen.runs, warmUp),
-      attempts: shiftTimes(seen.attempts, warmUp),
+      runs: shiftTimes(targetRecords.runs, warmUp),
+      attempts: shiftTimes(targetRecords.attempts, warmUp),
       vmCpuMilliseconds,
       vmResidentBytes: await this.#fleet.getResidentBytes(),
       vmReports: await this.#fleet.report(),
-      ejections: await this.#fleet.takeEjections(),
+      ejections: await this.#fleet.getEjections(),
     };
   }
 
@@ -121,13 +121,13 @@
     const { listeners } = this.#fleet;
     await Promise.all(this.#callerHosts.map((host, offset) =>
       host.call("startLoad", {
-        seed: this.#seed * CALLER_HOSTS + offset,
+        seed: this.#seed * CALLER_HOST_COUNT + offset,
         deployment: this.#deployment,
         listeners,
         load: this.#scenario.load,
         writes: this.#scenario.writes,
         offset,
-        stride: CALLER_HOSTS,
+        stride: CALLER_HOST_COUNT,
       })
     ));
   }
@@ -139,12 +139,12 @@
     return records.flat();
   }
 
-  /** Starts the task of each event. All have ended when the promise resolves. */
-  async #playEvents(start: number): Promise<void> {
-    await Promise.all(this.#scenario.events.map((event) => this.#playEvent(event, start)));
+  /** Runs all events concurrently and waits until each has ended. */
+  async #runEvents(start: number): Promise<void> {
+    await Promise.all(this.#scenario.events.map((event) => this.#runEvent(event, start)));
   }
 
-  async #playEvent(event: scenarios.ScenarioEvent, start: number): Promise<void> {
+  async #runEvent(event: scenarios.ScenarioEvent, start: number): Promise<void> {
     const waitSeconds = (seconds: number) => waitUntil(start + seconds * 1_000);
     await waitSeconds(event.fromSeconds);
     switch (event.kind) {
@@ -175,9 +175,9 @@
         await this.#fleet.cutDataCentres(event.from, event.to, false);
         return;
       case "platform_away":
-        await this.#fleet.takePlatformAway();
+        await this.#fleet.stopPlatform();
         await waitSeconds(event.untilSeconds);
-        await this.#fleet.bringPlatformBack();
+        await this.#fleet.restartPlatform();
         return;
       case "withdraw_key":
         this.#withdrawKey(event.workspace);
@@ -193,7 +193,7 @@
     }
   }
 
-  /** Identifier of a target by the positions of service and target. */
+  /** Returns the identifier of a target by the positions of its service and itself. */
   getTargetId(service: number, target: number): string {
     const plan = this.#deployment.services[service];
     if (plan === undefined || target >= plan.targets) {
--- a/packages/measure/src/experiment/metrics_text.ts
+++ b/packages/measure/src/experiment/metrics_text.ts
@@ -1,5 +1,5 @@
 /**
- * Reads metrics in the Prometheus text format that VMs report.
+ * Parses the metrics that VMs report in the Prometheus text format.
  */
 
 import type * as commands from "../emulator/commands.ts";
@@ -13,7 +13,7 @@
 const SAMPLE = /^([a-zA-Z_:][\w:]*)(?:\{(.*)\})? (\S+)$/;
 const LABEL = /(\w+)="((?:[^"\\]|\\.)*)"/g;
 
-/** All samples of a metric over the reports of all VMs. */
+/** Lists the samples of a metric in the reports of all VMs. */
 export function listSamples(
   reports: readonly commands.VmReport[],
   name: string,
@@ -21,7 +21,7 @@
   return reports.flatMap((report) => listSamplesOfText(report.metrics, name));
 }
 
-/** The sum of a metric over all VMs and labels; 0 when no VM has it. */
+/** Returns the sum of a metric over all VMs and labels; 0 if no VM reports it. */
 export function sumMetric(reports: readonly commands.VmReport[], name: string): number {
   return listSamples(reports, name).reduce((sum, sample) => sum + sample.value, 0);
 }
--- a/packages/measure/src/experiment/oracle.ts
+++ b/packages/measure/src/experiment/oracle.ts
@@ -1,35 +1,36 @@
 /**
- * One independent token bucket for each workspace, fed with the same arrivals as the fleet.
+ * An oracle for rate limiting: one independent token bucket per workspace, applied to the same
+ * arrivals as the fleet.
  */
 
 import type * as types from "../types.ts";
 
-/** What the oracle says of one workspace's arrivals. */
-export interface OracleVerdict {
+/** Comparison of the oracle with the fleet for the arrivals of one workspace. */
+export interface OracleResult {
   readonly workspace: number;
   readonly arrivals: number;
-  /** Arrivals that the single bucket refuses. */
+  /** Arrivals that the oracle's token bucket refuses. */
   readonly refusedByOracle: number;
-  /** Arrivals that the fleet refused over the rate. */
+  /** Arrivals that the fleet refused because of the rate. */
   readonly refusedByFleet: number;
   /** Tokens by which the fleet's admissions exceed rate and burst in the worst interval. */
   readonly overshoot: number;
 }
 
-/** Reasons of refusals that concern a workspace's rate. */
+/** Refusal reasons that concern the rate of a workspace. */
 const RATE_REASONS = new Set(["over_rate", "no_share"]);
 
-/** Whether the fleet refused a request over its workspace's rate. */
+/** Whether the fleet refused a request because of its workspace's rate. */
 export function isRateRefusal(record: types.RequestRecord): boolean {
   return RATE_REASONS.has(record.reason);
 }
 
-/** Judges the records of one workspace. */
-export function judgeWorkspace(
+/** Applies the oracle to the records of one workspace. */
+export function evaluateWorkspace(
   deployment: types.DeploymentPlan,
   workspace: number,
   records: readonly types.RequestRecord[],
-): OracleVerdict {
+): OracleResult {
   const plan = deployment.workspaces[workspace];
   const rate = plan?.rate ?? 0;
   const burst = plan?.burst ?? 0;
--- a/packages/measure/src/experiment/table.ts
+++ b/packages/measure/src/experiment/table.ts
@@ -1,10 +1,10 @@
 /**
- * Prints the measures of several runs side by side.
+ * Formats the measures of several runs as a table.
  */
 
 import type * as analysis from "./analysis.ts";
 
-/** One line of the table. */
+/** One row of the table. */
 interface Row {
   readonly title: string;
   readonly format: (result: analysis.ExperimentResult) => string;
@@ -51,14 +51,14 @@
   },
 ];
 
-/** The cells of the table: a header row, then a row for each measure. */
+/** Returns the cells of the table: a header row, then one row per measure. */
 export function listTableCells(results: readonly analysis.ExperimentResult[]): string[][] {
   const header = ["measure", ...results.map((result) => result.variant)];
   const rows = ROWS.map((row) => [row.title, ...results.map(row.format)]);
   return [header, ...rows];
 }
 
-/** Formats results as a table in Markdown, a column for each. */
+/** Formats results as a Markdown table with one column per result. */
 export function formatTable(results: readonly analysis.ExperimentResult[]): string {
   const [header = [], ...rows] = listTableCells(results);
   const divider = header.map(() => "---");
--- a/packages/measure/src/experiment/vm_fleet.ts
+++ b/packages/measure/src/experiment/vm_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The VMs of an experiment, spread over worker processes, and the platform's view of them.
+ * The VMs of an experiment, distributed over worker processes, and the platform's list of them.
  */
 
 import * as kernel from "@hemlockwalk/kernel";
@@ -12,21 +12,21 @@
 import type * as types from "../types.ts";
 import type * as releaseNotes from "./release_note.ts";
 
-/** VMs in a worker whose process a scenario pauses or kills. */
-const SMALL_HOST_VMS = 2;
+/** VMs in the worker whose process scenarios pause or kill. */
+const SMALL_HOST_VM_COUNT = 2;
 
-const LARGE_HOSTS = 4;
+const LARGE_HOST_COUNT = 4;
 
-/** Listener, admin listener, peer relay and peer listener. */
-const PORTS_FOR_VM = 4;
+/** Ports of the listener, the admin listener, the peer relay and the peer listener. */
+const PORTS_PER_VM = 4;
 
 const READY_TIMEOUT_MILLISECONDS = 60_000;
 const READY_POLL_MILLISECONDS = 100;
 
-/** The platform's list of VMs lags by this much. */
+/** Delay after which the platform's list of VMs reflects a change. */
 const LIST_LAG_MILLISECONDS = 2_000;
 
-/** The platform's balancer notices an ended VM after this time. */
+/** Delay after which the platform's balancer stops using a killed VM. */
 const BALANCER_LAG_MILLISECONDS = 1_000;
 
 interface Host {
@@ -34,23 +34,23 @@
   readonly vms: commands.VmPlan[];
 }
 
-/** Called with the listeners that the balancer knows, whenever they change. */
+/** Called with the listeners on the balancer's list whenever the list changes. */
 export type ListenersObserver = (listeners: readonly string[]) => Promise<void>;
 
-/** Starts, disturbs and stops the VMs of an experiment. */
+/** Starts and stops the VMs of an experiment, and injects faults into them. */
 export class VmFleet {
   readonly platform = new standins.PlatformStandin();
   readonly #deployment: types.DeploymentPlan;
   readonly #variant: commands.Variant;
   readonly #secretFile: string;
-  readonly #small: Host = { worker: createVmHost(), vms: [] };
-  readonly #large: Host[] = Array.from(
-    { length: LARGE_HOSTS },
+  readonly #smallHost: Host = { worker: createVmHost(), vms: [] };
+  readonly #largeHosts: Host[] = Array.from(
+    { length: LARGE_HOST_COUNT },
     () => ({ worker: createVmHost(), vms: [] }),
   );
   #platformPort = 0;
   #observer: ListenersObserver = () => Promise.resolve();
-  #started = 0;
+  #plannedCount = 0;
 
   constructor(deployment: types.DeploymentPlan, variant: commands.Variant, secretFile: string) {
     this.#deployment = deployment;
@@ -58,12 +58,12 @@
     this.#secretFile = secretFile;
   }
 
-  /** Listeners of all VMs that run. */
+  /** Listener addresses of all running VMs. */
   get listeners(): string[] {
     return this.#listVms().map((vm) => vm.listener);
   }
 
-  /** Sets who learns of changes of the balancer's list. */
+  /** Sets the observer of changes to the balancer's list. */
   observeListeners(observer: ListenersObserver): void {
     this.#observer = observer;
   }
@@ -72,15 +72,15 @@
     await this.platform.start();
     this.#platformPort = Number(new URL(this.platform.address).port);
     const plans = await this.#planVms(this.#deployment.vms);
-    this.#small.vms.push(...plans.slice(0, SMALL_HOST_VMS));
-    for (const [index, plan] of plans.slice(SMALL_HOST_VMS).entries()) {
-      this.#large[index % LARGE_HOSTS]?.vms.push(plan);
+    this.#smallHost.vms.push(...plans.slice(0, SMALL_HOST_VM_COUNT));
+    for (const [index, plan] of plans.slice(SMALL_HOST_VM_COUNT).entries()) {
+      this.#largeHosts[index % LARGE_HOST_COUNT]?.vms.push(plan);
     }
     this.#publishList();
     await Promise.all(this.#listHosts().map((host) => this.#startVms(host.worker, host.vms)));
   }
 
-  /** Publishes a release note as the newest of the chain. */
+  /** Publishes a release note as the latest one of the chain. */
   publish({ number, text, digest }: releaseNotes.NoteText): void {
     this.platform.publish(`notes/${number}`, text);
     this.platform.publish("head", JSON.stringify({ number, digest }));
@@ -108,7 +108,7 @@
     return reports.flat();
   }
 
-  /** Processor time that all VMs have used so far. */
+  /** Returns the processor time that all VM processes have used so far. */
   async getCpuMilliseconds(): Promise<number> {
     const reports = await Promise.all(
       this.#listHosts().map((host) => host.worker.call("reportProcess", undefined)),
@@ -116,7 +116,7 @@
     return reports.reduce((sum, report) => sum + report.cpuMilliseconds, 0);
   }
 
-  /** Memory of all VM processes together. */
+  /** Returns the total memory of all VM processes. */
   async getResidentBytes(): Promise<number> {
     const reports = await Promise.all(
       this.#listHosts().map((host) => host.worker.call("reportProcess", undefined)),
@@ -124,36 +124,36 @@
     return reports.reduce((sum, report) => sum + report.residentBytes, 0);
   }
 
-  /** Ejections that the VMs have logged so far. */
-  async takeEjections(): Promise<commands.EjectionRecord[]> {
+  /** Returns the ejections that the VMs have logged so far. */
+  async getEjections(): Promise<commands.EjectionRecord[]> {
     const ejections = await Promise.all(
       this.#listHosts().map((host) => host.worker.call("takeEjections", undefined)),
     );
     return ejections.flat();
   }
 
-  /** Keeps the VMs of the small host from running. Callers still reach their listeners. */
+  /** Suspends the VMs of the small host. Callers can still connect to their listeners. */
   pauseSmallHost(): void {
-    this.#small.worker.pause();
+    this.#smallHost.worker.pause();
   }
 
   resumeSmallHost(): void {
-    this.#small.worker.resume();
+    this.#smallHost.worker.resume();
   }
 
-  /** Ends the VMs of the small host without notice. */
+  /** Kills the VMs of the small host without a graceful stop. */
   async killSmallHost(): Promise<void> {
-    this.#small.vms.splice(0);
-    await this.#small.worker.kill();
+    this.#smallHost.vms.splice(0);
+    await this.#smallHost.worker.kill();
     setTimeout(() => void this.#observer(this.listeners), BALANCER_LAG_MILLISECONDS);
     setTimeout(() => this.#publishList(), LIST_LAG_MILLISECONDS);
   }
 
   /** Stops one VM gracefully and starts another in its place. */
   async replaceVm(index: number): Promise<void> {
-    const host = this.#large[index % LARGE_HOSTS];
-    const leaving = host?.vms.shift();
-    if (host === undefined || leaving === undefined) {
+    const host = this.#largeHosts[index % LARGE_HOST_COUNT];
+    const stoppedVm = host?.vms.shift();
+    if (host === undefined || stoppedVm === undefined) {
       return;
     }
     const [plan] = await this.#planVms(1);
@@ -162,7 +162,7 @@
     }
     await this.#observer(this.listeners);
     await Promise.all([
-      host.worker.call("stopVm", { vm: leaving.vm }),
+      host.worker.call("stopVm", { vm: stoppedVm.vm }),
       this.#startVms(host.worker, [plan]),
     ]);
     host.vms.push(plan);
@@ -170,17 +170,17 @@
     setTimeout(() => this.#publishList(), LIST_LAG_MILLISECONDS);
   }
 
-  /** Closes the platform's listener and all its connections. Its values stay. */
-  async takePlatformAway(): Promise<void> {
+  /** Closes the platform's listener and all its connections. Its values are kept. */
+  async stopPlatform(): Promise<void> {
     await this.platform.stop();
   }
 
-  /** Opens the platform's listener again at the same address. */
-  async bringPlatformBack(): Promise<void> {
+  /** Reopens the platform's listener at the same address. */
+  async restartPlatform(): Promise<void> {
     await this.platform.start(this.#platformPort);
   }
 
-  /** Loses, or passes again, what VMs of one data centre send to those of another. */
+  /** Starts or stops dropping the traffic from one data centre's VMs to those of another. */
   async cutDataCentres(from: number, to: number, cut: boolean): Promise<void> {
     const request = {
       from: peerRelay.getDataCentreAddress(from),
@@ -198,10 +198,10 @@
   }
 
   async #planVms(count: number): Promise<commands.VmPlan[]> {
-    const free = await ports.findFreePorts(count * PORTS_FOR_VM);
+    const freePorts = await ports.findFreePorts(count * PORTS_PER_VM);
     return Array.from({ length: count }, (_, index) => {
-      const number = this.#started++;
-      const [listener, admin, peers, peerListener] = free.slice(index * PORTS_FOR_VM);
+      const number = this.#plannedCount++;
+      const [listener, admin, peers, peerListener] = freePorts.slice(index * PORTS_PER_VM);
       const position = number % this.#deployment.dataCentres.length;
       const host = peerRelay.getDataCentreAddress(position);
       return {
@@ -238,12 +238,12 @@
   }
 
   #listVms(): commands.VmPlan[] {
-    return [...this.#small.vms, ...this.#large.flatMap((host) => host.vms)];
+    return [...this.#smallHost.vms, ...this.#largeHosts.flatMap((host) => host.vms)];
   }
 
-  /** The workers that have VMs. */
+  /** Lists the hosts that have VMs. */
   #listHosts(): Host[] {
-    return [this.#small, ...this.#large].filter((host) => host.vms.length > 0);
+    return [this.#smallHost, ...this.#largeHosts].filter((host) => host.vms.length > 0);
   }
 }
 
--- a/packages/measure/src/free_port.ts
+++ b/packages/measure/src/free_port.ts
@@ -1,29 +1,29 @@
 /**
- * Free ports on loopback.
+ * Finds free ports on loopback.
  */
 
 import * as net from "node:net";
 import process from "node:process";
 import * as random from "./random.ts";
 
-/** Below the range that operating systems use for outgoing connections, which would take them. */
+/** Below the ephemeral port range, from which outgoing connections could take the same ports. */
 const LOWEST_PORT = 12_000;
 
-/** Experiments that run at the same time take their ports from different blocks. */
-const BLOCKS = 8;
-const PORTS_IN_BLOCK = 2_250;
+/** Concurrent experiments usually use different blocks, chosen by the process identifier. */
+const BLOCK_COUNT = 8;
+const PORTS_PER_BLOCK = 2_250;
 
-const taken = new Set<number>();
-const lowestOfBlock = LOWEST_PORT + (process.pid % BLOCKS) * PORTS_IN_BLOCK;
-const stream = new random.RandomStream(process.pid);
+const assignedPorts = new Set<number>();
+const firstPortOfBlock = LOWEST_PORT + (process.pid % BLOCK_COUNT) * PORTS_PER_BLOCK;
+const randomStream = new random.RandomStream(process.pid);
 
-/** Finds ports that nothing listens on at the moment. No port is returned twice. */
+/** Finds ports on which nothing is listening. Returns no port twice within a process. */
 export async function findFreePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
-    const port = lowestOfBlock + stream.nextIndex(PORTS_IN_BLOCK);
-    if (!taken.has(port) && await isFree(port)) {
-      taken.add(port);
+    const port = firstPortOfBlock + randomStream.nextIndex(PORTS_PER_BLOCK);
+    if (!assignedPorts.has(port) && await isFree(port)) {
+      assignedPorts.add(port);
       ports.push(port);
     }
   }
@@ -34,7 +34,7 @@
   const server = net.createServer();
   return new Promise((resolve) => {
     server.once("error", () => resolve(false));
-    // All addresses, since data centres have IP numbers of their own on loopback.
+    // Checks all addresses, since each data centre has its own loopback IP address.
     server.listen(port, "0.0.0.0", () => server.close(() => resolve(true)));
   });
 }
--- a/packages/measure/src/measure_main.ts
+++ b/packages/measure/src/measure_main.ts
@@ -1,5 +1,5 @@
 /**
- * The command `npm run measure`: runs a scenario on a deployment and prints the users' measures.
+ * The command `npm run measure`: runs a scenario on a deployment and prints its measures.
  */
 
 import * as fs from "node:fs";
@@ -58,7 +58,7 @@
       default: "calm",
       description: `A scenario file, or one of: ${scenarios.listScenarios().join(", ")}.`,
     },
-    seed: { type: "string", default: "1", description: "Seed of load and targets." },
+    seed: { type: "string", default: "1", description: "Seed of the load and of the targets." },
     variant: { type: "string", default: "both", description: "built, baseline or both." },
     metrics: { type: "string", description: "Folder for the metrics of each VM at the end." },
     output: { type: "string", description: "File for the results as JSON." },
--- a/packages/measure/src/mod.ts
+++ b/packages/measure/src/mod.ts
@@ -1,2 +1,2 @@
-/** Measurement of the fleet at its users' sizes. */
+/** Measures the fleet at the size of its users' deployments; it exports no library interface. */
 export {};
--- a/packages/measure/src/random.ts
+++ b/packages/measure/src/random.ts
@@ -5,7 +5,7 @@
 import * as generators from "pure-rand/generator/xoroshiro128plus";
 import type * as generatorTypes from "pure-rand/types/RandomGenerator";
 
-const HIGHEST = 0xffff_ffff;
+const MAXIMUM_UINT32 = 0xffff_ffff;
 
 /** A stream of random numbers that depends on its seed only. */
 export class RandomStream {
@@ -17,7 +17,7 @@
 
   /** Uniform in (0, 1). */
   nextUniform(): number {
-    return ((this.#generator.next() >>> 0) + 0.5) / (HIGHEST + 1);
+    return ((this.#generator.next() >>> 0) + 0.5) / (MAXIMUM_UINT32 + 1);
   }
 
   /** Uniform integer from 0 to `count - 1`. */
--- a/packages/measure/src/report/charts.ts
+++ b/packages/measure/src/report/charts.ts
@@ -9,7 +9,7 @@
 const WIDTH = 560;
 const HEIGHT = 180;
 
-/** Draws served, refused and failed requests in each second. */
+/** Draws the served, refused and failed requests of each second. */
 export function drawTimeline(result: analysis.ExperimentResult): Promise<string> {
   const values = result.timeline.flatMap((point) => [
     { second: point.second, kind: "served", requests: point.served },
@@ -34,7 +34,7 @@
   });
 }
 
-/** Draws the 99th percentile of latency in each second, one line for each result. */
+/** Draws the 99th percentile of the latency in each second, with one line per result. */
 export function drawLatency(results: readonly analysis.ExperimentResult[]): Promise<string> {
   const values = results.flatMap((result) =>
     result.timeline.map((point) => ({
@@ -54,7 +54,7 @@
   });
 }
 
-/** Draws the share that each workspace was served of what it was owed. */
+/** Draws the served share of each workspace, relative to the oracle's token bucket. */
 export function drawWorkspaces(results: readonly analysis.ExperimentResult[]): Promise<string> {
   const values = results.flatMap((result) =>
     result.workspaces.map((workspace) => ({
@@ -69,7 +69,7 @@
     encoding: {
       x: { field: "workspace", type: "nominal", title: "" },
       xOffset: { field: "variant", type: "nominal" },
-      y: { field: "share", type: "quantitative", title: "served of what is owed" },
+      y: { field: "share", type: "quantitative", title: "served / admitted by the oracle" },
       color: { field: "variant", type: "nominal" },
     },
   });
--- a/packages/measure/src/report/page.ts
+++ b/packages/measure/src/report/page.ts
@@ -13,7 +13,7 @@
 figure { margin: 1rem 0; }
 `;
 
-/** Creates the page; results of one file stand side by side. */
+/** Creates the page. The results of one file are shown side by side. */
 export async function createPage(
   files: readonly { readonly name: string; readonly results: analysis.ExperimentResult[] }[],
 ): Promise<string> {
--- a/packages/measure/src/report_main.ts
+++ b/packages/measure/src/report_main.ts
@@ -1,5 +1,5 @@
 /**
- * The command `npm run report`: draws measured results, or compares two result files side by side.
+ * The command `npm run report`: creates a page of measured results or compares two result files.
  */
 
 import * as fs from "node:fs";
@@ -21,13 +21,13 @@
   return { name: path.basename(file, ".json"), results };
 }
 
-/** Puts the results of two files side by side, each variant marked with its file. */
+/** Combines the results of two files and adds to each variant which file it is from. */
 function mergeFiles(earlier: ResultFile, later: ResultFile): ResultFile {
-  const mark = (file: ResultFile, word: string) =>
+  const labelVariants = (file: ResultFile, word: string) =>
     file.results.map((result) => ({ ...result, variant: `${result.variant}, ${word}` }));
   return {
     name: `${earlier.name} against ${later.name}`,
-    results: [...mark(earlier, "earlier"), ...mark(later, "later")],
+    results: [...labelVariants(earlier, "earlier"), ...labelVariants(later, "later")],
   };
 }
 
@@ -35,7 +35,7 @@
   meta: { name: "report", description: "Draws measured results as a self-contained HTML page." },
   args: {
     earlier: { type: "string", description: "Result file to compare with." },
-    later: { type: "string", description: "Result file that is compared." },
+    later: { type: "string", description: "Result file that is compared with the earlier one." },
     folder: { type: "string", default: RESULTS_FOLDER, description: "Folder of result files." },
     output: { type: "string", default: path.join(RESULTS_FOLDER, "report.html") },
   },
--- a/packages/measure/src/scenario.ts
+++ b/packages/measure/src/scenario.ts
@@ -1,5 +1,5 @@
 /**
- * Scenario files: what happens to a deployment while it is measured.
+ * Scenario files: the load on a deployment and the events that occur while it is measured.
  */
 
 import * as fs from "node:fs";
@@ -9,10 +9,10 @@
 import * as neverthrow from "neverthrow";
 import * as zod from "zod";
 
-const index = zod.number().int().min(0);
-const seconds = zod.number().min(0).max(600);
+const indexSchema = zod.number().int().min(0);
+const secondsSchema = zod.number().min(0).max(600);
 
-const fault = zod.discriminatedUnion("kind", [
+const faultSchema = zod.discriminatedUnion("kind", [
   zod.strictObject({ kind: zod.literal("reset") }),
   zod.strictObject({ kind: zod.literal("hang") }),
   zod.strictObject({ kind: zod.literal("slow"), factor: zod.number().min(1).max(100) }),
@@ -25,48 +25,48 @@
   zod.strictObject({ kind: zod.literal("silent_connections") }),
 ]);
 
-/** Between two moments after the end of the warm-up. */
-const during = { fromSeconds: seconds, untilSeconds: seconds };
+/** The start and end of an event, relative to the end of the warm-up. */
+const intervalFields = { fromSeconds: secondsSchema, untilSeconds: secondsSchema };
 
-const event = zod.discriminatedUnion("kind", [
+const eventSchema = zod.discriminatedUnion("kind", [
   zod.strictObject({
     kind: zod.literal("target_fault"),
-    ...during,
+    ...intervalFields,
     /** Position of the service in the deployment. */
-    service: index,
+    service: indexSchema,
     /** Position of the target in the service. */
-    target: index,
-    fault,
+    target: indexSchema,
+    fault: faultSchema,
   }),
-  /** The processes of a few VMs do not run. */
-  zod.strictObject({ kind: zod.literal("pause_vms"), ...during }),
-  /** A few VMs end without notice. */
-  zod.strictObject({ kind: zod.literal("kill_vms"), fromSeconds: seconds }),
+  /** The processes of a few VMs are suspended. */
+  zod.strictObject({ kind: zod.literal("pause_vms"), ...intervalFields }),
+  /** A few VMs are killed without a graceful stop. */
+  zod.strictObject({ kind: zod.literal("kill_vms"), fromSeconds: secondsSchema }),
   /** VMs are stopped gracefully and replaced, one after another. */
   zod.strictObject({
     kind: zod.literal("replace_vms"),
-    fromSeconds: seconds,
+    fromSeconds: secondsSchema,
     count: zod.number().int().min(1).max(20),
     everySeconds: zod.number().min(0.5).max(60),
   }),
-  /** Messages from one data centre's VMs to another's are lost; the other way they pass. */
+  /** Messages from one data centre's VMs to another's are dropped, in this direction only. */
   zod.strictObject({
     kind: zod.literal("cut_data_centres"),
-    ...during,
-    from: index,
-    to: index,
+    ...intervalFields,
+    from: indexSchema,
+    to: indexSchema,
   }),
-  zod.strictObject({ kind: zod.literal("platform_away"), ...during }),
+  zod.strictObject({ kind: zod.literal("platform_away"), ...intervalFields }),
   zod.strictObject({
     kind: zod.literal("withdraw_key"),
-    fromSeconds: seconds,
-    workspace: index,
+    fromSeconds: secondsSchema,
+    workspace: indexSchema,
   }),
-  /** A workspace sends this many times its rate. */
+  /** The load of a workspace is multiplied by `factor`. */
   zod.strictObject({
     kind: zod.literal("surge"),
-    ...during,
-    workspace: index,
+    ...intervalFields,
+    workspace: indexSchema,
     factor: zod.number().min(0).max(20),
   }),
 ]);
@@ -75,35 +75,35 @@
   title: zod.string().min(1),
   warmUpSeconds: zod.number().min(1).max(120),
   durationSeconds: zod.number().min(1).max(300),
-  /** Share of its rate that each workspace sends. */
+  /** Load of each workspace as a share of its rate. */
   load: zod.number().min(0).max(2),
   /** Share of requests that are not idempotent. */
   writes: zod.number().min(0).max(1),
-  events: zod.array(event),
+  events: zod.array(eventSchema),
 });
 
-/** A checked scenario. */
+/** A validated scenario. */
 export type Scenario = zod.output<typeof scenarioSchema>;
 
-/** One thing that happens in a scenario. */
+/** One event of a scenario. */
 export type ScenarioEvent = Scenario["events"][number];
 
 const SCENARIOS_FOLDER = url.fileURLToPath(new URL("../../scenarios/", import.meta.url));
 
-/** Names of the scenarios that come with the tool. */
+/** Lists the names of the built-in scenarios. */
 export function listScenarios(): string[] {
   const files = fs.readdirSync(SCENARIOS_FOLDER);
   return files.filter((file) => file.endsWith(".jsonc")).map((file) => file.slice(0, -6)).sort();
 }
 
-/** The file of a scenario that comes with the tool, or the given path itself. */
+/** Returns the file of a built-in scenario, or the argument itself if it is a path. */
 export function getScenarioFile(nameOrPath: string): string {
   return nameOrPath.endsWith(".jsonc")
     ? nameOrPath
     : path.join(SCENARIOS_FOLDER, `${nameOrPath}.jsonc`);
 }
 
-/** Reads and checks a scenario file; the errors are formatted findings. */
+/** Reads and validates a scenario file. The errors are formatted findings. */
 export function readScenario(file: string): neverthrow.Result<Scenario, string[]> {
   let text: string;
   try {
--- a/packages/measure/src/slopes_main.ts
+++ b/packages/measure/src/slopes_main.ts
@@ -1,8 +1,8 @@
 /**
- * The command `npm run slopes`: what control costs each VM, by the size of the fleet.
+ * The command `npm run slopes`: measures the control overhead of a VM by the size of the fleet.
  *
- * Starts fleets of several sizes with real sockets, lets them run with no callers, and prints bytes,
- * processor time and memory of one VM.
+ * Starts fleets of several sizes over real sockets, runs them without callers, and prints the
+ * bytes, processor time and memory per VM.
  */
 
 import * as fs from "node:fs";
@@ -20,18 +20,18 @@
 
 const DEFAULT_SIZES = "5,10,20,40";
 const WARM_UP_MILLISECONDS = 20_000;
-const MEASURE_MILLISECONDS = 20_000;
+const MEASUREMENT_MILLISECONDS = 20_000;
 
-/** An address that nothing listens on; no request is sent to it. */
+/** Address of the targets. Nothing listens on it, and no request is sent to it. */
 const UNUSED_ADDRESS = "127.0.0.1:9";
 
 const PARTS = ["membership", "configuration", "limits", "targets", "claims"] as const;
 
-/** What control costs one VM in a fleet of one size. */
-interface SlopePoint {
+/** The control overhead of one VM in a fleet of one size. */
+interface ControlOverhead {
   readonly vms: number;
   readonly sentBytesPerSecond: Readonly<Record<string, number>>;
-  /** Sent and received, heartbeats of links included. */
+  /** Bytes sent and received, including the heartbeats of links. */
   readonly linkBytesPerSecond: number;
   readonly framesPerSecond: number;
   readonly cpuShare: number;
@@ -42,7 +42,7 @@
 async function measureSize(
   deployment: types.DeploymentPlan,
   secretFile: string,
-): Promise<SlopePoint> {
+): Promise<ControlOverhead> {
   const fleet = new vmFleet.VmFleet(deployment, "built", secretFile);
   try {
     await fleet.start();
@@ -52,23 +52,24 @@
     const cpuBefore = await fleet.getCpuMilliseconds();
     const before = await fleet.report();
     const callsBefore = fleet.platform.calls;
-    await kernel.sleep(MEASURE_MILLISECONDS);
+    await kernel.sleep(MEASUREMENT_MILLISECONDS);
     const after = await fleet.report();
     const cpuMilliseconds = await fleet.getCpuMilliseconds() - cpuBefore;
-    const perVmSecond = (value: number) => value / deployment.vms / (MEASURE_MILLISECONDS / 1_000);
-    const grown = (name: string, label?: string) =>
+    const perVmSecond = (value: number) =>
+      value / deployment.vms / (MEASUREMENT_MILLISECONDS / 1_000);
+    const getRatePerVm = (name: string, label?: string) =>
       perVmSecond(sumMetric(after, name, label) - sumMetric(before, name, label));
     return {
       vms: deployment.vms,
       sentBytesPerSecond: Object.fromEntries(
-        PARTS.map((part) => [part, grown("hemlockwalk_peer_sent_bytes_total", part)]),
+        PARTS.map((part) => [part, getRatePerVm("hemlockwalk_peer_sent_bytes_total", part)]),
       ),
-      linkBytesPerSecond: grown("hemlockwalk_peer_bytes_total"),
-      framesPerSecond: grown("hemlockwalk_peer_frames_total"),
+      linkBytesPerSecond: getRatePerVm("hemlockwalk_peer_bytes_total"),
+      framesPerSecond: getRatePerVm("hemlockwalk_peer_frames_total"),
       cpuShare: perVmSecond(cpuMilliseconds) / 1_000,
       residentMegabytes: await fleet.getResidentBytes() / deployment.vms / 1_000_000,
       platformCallsPerSecond: (fleet.platform.calls - callsBefore) /
-        (MEASURE_MILLISECONDS / 1_000),
+        (MEASUREMENT_MILLISECONDS / 1_000),
     };
   } finally {
     await fleet.stop();
@@ -95,21 +96,24 @@
     .reduce((sum, sample) => sum + sample.value, 0);
 }
 
-function formatPoint(point: SlopePoint): string {
+function formatOverhead(overhead: ControlOverhead): string {
   const cells = [
-    String(point.vms),
-    ...PARTS.map((part) => (point.sentBytesPerSecond[part] ?? 0).toFixed(0)),
-    point.linkBytesPerSecond.toFixed(0),
-    point.framesPerSecond.toFixed(1),
-    `${(point.cpuShare * 100).toFixed(2)}%`,
-    point.residentMegabytes.toFixed(0),
-    point.platformCallsPerSecond.toFixed(1),
+    String(overhead.vms),
+    ...PARTS.map((part) => (overhead.sentBytesPerSecond[part] ?? 0).toFixed(0)),
+    overhead.linkBytesPerSecond.toFixed(0),
+    overhead.framesPerSecond.toFixed(1),
+    `${(overhead.cpuShare * 100).toFixed(2)}%`,
+    overhead.residentMegabytes.toFixed(0),
+    overhead.platformCallsPerSecond.toFixed(1),
   ];
   return `| ${cells.join(" | ")} |`;
 }
 
 const slopesCommand = citty.defineCommand({
-  meta: { name: "slopes", description: "Measures what control costs a VM, by the fleet's size." },
+  meta: {
+    name: "slopes",
+    description: "Measures the control overhead of a VM by the size of the fleet.",
+  },
   args: {
     sizes: { type: "string", default: DEFAULT_SIZES, description: "Numbers of VMs." },
     deployment: { type: "string", default: "pitchwise" },
@@ -135,7 +139,7 @@
     process.stdout.write(`|${titles.map(() => " --- |").join("")}\n`);
     for (const size of args.sizes.split(",").map(Number)) {
       const plan = { ...deployment, vms: size, vmLimit: Math.ceil(size * 1.1) };
-      process.stdout.write(`${formatPoint(await measureSize(plan, secretFile))}\n`);
+      process.stdout.write(`${formatOverhead(await measureSize(plan, secretFile))}\n`);
     }
     fs.rmSync(folder, { recursive: true });
   },
--- a/packages/measure/src/types.ts
+++ b/packages/measure/src/types.ts
@@ -17,7 +17,7 @@
 export interface WorkspacePlan {
   readonly id: string;
   readonly key: string;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
   readonly burst: number;
 }
@@ -35,27 +35,27 @@
   readonly workspaces: readonly WorkspacePlan[];
   readonly vms: number;
   readonly vmLimit: number;
-  /** Median time that a target needs for a request. */
+  /** Median time that a target takes to run a request. */
   readonly serviceTimeMilliseconds: number;
 }
 
-/** How an emulated target misbehaves. */
+/** A fault of an emulated target. */
 export type TargetFault =
-  /** Connections are accepted and closed at once. */
+  /** Connections are accepted and closed immediately. */
   | { readonly kind: "reset" }
-  /** Requests are read and never answered. */
+  /** Requests are read and never get a response. */
   | { readonly kind: "hang" }
   | { readonly kind: "slow"; readonly factor: number }
-  /** A share (0 to 1) of the requests is run and answered with status 500. */
+  /** A share (0 to 1) of the requests is run and gets a response with status 500. */
   | { readonly kind: "errors"; readonly share: number }
-  /** Answers end after half of their body. */
+  /** Connections are closed after half of a response body. */
   | { readonly kind: "truncate" }
-  /** Errors for all requests in every other half period. */
+  /** All requests fail in the first half of each period. */
   | { readonly kind: "flapping"; readonly periodMilliseconds: number }
-  /** Connections that are open go silent for good, while new ones work. */
+  /** Requests on already open connections never get a response, while new connections work. */
   | { readonly kind: "silent_connections" };
 
-/** How a request ended for its caller. */
+/** The outcome of a request for its caller. */
 export interface RequestRecord {
   readonly id: number;
   /** Index into the deployment's workspaces. */
@@ -63,34 +63,34 @@
   /** Index into the deployment's services. */
   readonly service: number;
   readonly idempotent: boolean;
-  /** Intended start, milliseconds after the start of the load. */
+  /** Intended start in milliseconds after the start of the load. */
   readonly startMilliseconds: number;
-  /** From the intended start to the end of the answer. */
+  /** Time from the intended start to the end of the response. */
   readonly latencyMilliseconds: number;
-  /** 0 when the connection broke before an answer. */
+  /** 0 if the connection failed before a response. */
   readonly status: number;
-  /** Reason of a refusal; empty for an answer of a target. */
+  /** Reason of a refusal; empty for a response from a target. */
   readonly reason: string;
-  /** Value of the `hemlockwalk-run` header; empty for an answer of a target. */
+  /** Value of the `hemlockwalk-run` header of a refusal; empty for a response from a target. */
   readonly run: string;
-  /** Whether the whole answer came. */
+  /** Whether the complete response was received. */
   readonly complete: boolean;
-  /** Whether the answer belonged to another request. */
+  /** Whether the response belonged to another request. */
   readonly mixed: boolean;
 }
 
-/** A request, or a connection that was closed at once, that reached an emulated target. */
+/** A request, or a connection that was closed immediately, that reached an emulated target. */
 export interface AttemptRecord {
   readonly target: string;
   /** Milliseconds after the start of the load. */
   readonly startMilliseconds: number;
 }
 
-/** What an emulated target saw of a request that it ran. */
+/** A request that an emulated target ran. */
 export interface RunRecord {
   /** Identifier of the request. */
   readonly id: number;
   readonly target: string;
-  /** Arrival, milliseconds after the start of the load. */
+  /** Start of the run in milliseconds after the start of the load. */
   readonly startMilliseconds: number;
 }
--- a/packages/measure/test/analysis_test.ts
+++ b/packages/measure/test/analysis_test.ts
@@ -1,5 +1,6 @@
 /**
- * The instruments themselves: the oracle bucket, the detection of an avoided target, scenario files.
+ * Checks the measuring code itself: the oracle's token bucket, the detection of avoided targets,
+ * and scenario files.
  */
 
 import assert from "node:assert/strict";
@@ -34,28 +35,28 @@
   };
 }
 
-function createEvenRecords(count: number, everyMilliseconds: number, reason = "") {
+function createPeriodicRecords(count: number, everyMilliseconds: number, reason = "") {
   return Array.from(
     { length: count },
     (_, index) => createRecord(index * everyMilliseconds, reason),
   );
 }
 
-test.describe("oracle bucket", () => {
-  test.it("refuses nothing at the rate and sees refusals of the fleet", () => {
+test.describe("oracle token bucket", () => {
+  test.it("refuses nothing at the rate and counts refusals by the fleet", () => {
     // The smallest workspace has 2 requests a second and a burst of 4.
-    const records = [...createEvenRecords(20, 500), createRecord(10_000, "over_rate")];
-    const verdict = oracle.judgeWorkspace(getDeployment(), SMALLEST_WORKSPACE, records);
-    assert.equal(verdict.refusedByOracle, 0);
-    assert.equal(verdict.refusedByFleet, 1);
-    assert.equal(verdict.overshoot, 0);
+    const records = [...createPeriodicRecords(20, 500), createRecord(10_000, "over_rate")];
+    const result = oracle.evaluateWorkspace(getDeployment(), SMALLEST_WORKSPACE, records);
+    assert.equal(result.refusedByOracle, 0);
+    assert.equal(result.refusedByFleet, 1);
+    assert.equal(result.overshoot, 0);
   });
 
-  test.it("sees admissions beyond rate and burst", () => {
-    const records = createEvenRecords(10, 0);
-    const verdict = oracle.judgeWorkspace(getDeployment(), SMALLEST_WORKSPACE, records);
-    assert.equal(verdict.refusedByOracle, 6);
-    assert.equal(verdict.overshoot, 6);
+  test.it("measures admissions beyond rate and burst", () => {
+    const records = createPeriodicRecords(10, 0);
+    const result = oracle.evaluateWorkspace(getDeployment(), SMALLEST_WORKSPACE, records);
+    assert.equal(result.refusedByOracle, 6);
+    assert.equal(result.overshoot, 6);
   });
 });
 
@@ -69,7 +70,7 @@
     return attempts;
   }
 
-  test.it("is the time until the target gets nearly nothing", () => {
+  test.it("is the time until the target receives almost no requests", () => {
     const found = detection.getDetectionMilliseconds(
       createAttempts(3_000),
       "desk-1",
--- a/packages/measure/test/experiment_analysis_test.ts
+++ b/packages/measure/test/experiment_analysis_test.ts
@@ -1,5 +1,5 @@
 /**
- * The measures of an experiment, on records whose measures are known.
+ * Checks the analysis of an experiment on records whose measures are known.
  */
 
 import assert from "node:assert/strict";
@@ -21,7 +21,7 @@
   floor: 0.5,
   weight: 1,
 };
-const SICK_TARGET = deployments.getTargetId(SERVICE, 1);
+const FAILING_TARGET = deployments.getTargetId(SERVICE, 1);
 const HEALTHY_TARGET = deployments.getTargetId(SERVICE, 2);
 
 function createDeployment(): types.DeploymentPlan {
@@ -37,7 +37,7 @@
 }
 
 const SCENARIO: scenarios.Scenario = {
-  title: "a target resets, and a key is withdrawn",
+  title: "a target resets connections, and a key is withdrawn",
   warmUpSeconds: 2,
   durationSeconds: 10,
   load: 1,
@@ -83,12 +83,13 @@
 const KEY_UNKNOWN = { status: 401, reason: "key_unknown", run: "no" };
 
 const RECORDS: readonly types.RequestRecord[] = [
-  // Eight at once: the bucket of 4 admits four of them, the fleet only three.
+  // Eight simultaneous requests: a bucket with a burst of 4 admits four of them, the fleet three.
   createRecord(1, 0, 0, 10, { idempotent: true }),
   createRecord(2, 0, 0, 20),
   createRecord(3, 0, 0, 30),
   ...[4, 5, 6, 7, 8].map((id) => createRecord(id, 0, 0, 1, OVER_RATE)),
-  // Four within the rate: one fails, one answer is cut, one belongs to another request.
+  // Four requests within the rate: one is served, one fails, one response is truncated, and one
+  // response belongs to another request.
   createRecord(9, 0, 5_000, 40),
   createRecord(10, 0, 5_000, 1, { status: 502, reason: "target_reset", run: "unknown" }),
   createRecord(11, 0, 5_500, 1, { complete: false }),
@@ -97,13 +98,13 @@
   createRecord(14, WITHDRAWN_WORKSPACE, 3_400, 100),
   createRecord(15, WITHDRAWN_WORKSPACE, 4_000, 1, KEY_UNKNOWN),
   createRecord(16, WITHDRAWN_WORKSPACE, 4_500, 1, KEY_UNKNOWN),
-  // Six at once, all of which the fleet admits.
+  // Six simultaneous requests, all of which the fleet admits.
   ...[17, 18, 19, 20, 21, 22].map((id) => createRecord(id, 2, 2_000, 1)),
 ];
 
-/** Each target gets every other request; the sick one nothing from two seconds on. */
+/** The targets alternate for two seconds; after that, the failing one receives nothing. */
 const ATTEMPTS: readonly types.AttemptRecord[] = Array.from({ length: 1_000 }, (_, index) => ({
-  target: index % 2 === 0 && index < 200 ? SICK_TARGET : HEALTHY_TARGET,
+  target: index % 2 === 0 && index < 200 ? FAILING_TARGET : HEALTHY_TARGET,
   startMilliseconds: index * 10,
 }));
 
@@ -127,11 +128,12 @@
     seed: 77,
     variant: "built",
     records: RECORDS,
-    // A repeated read is in order, a repeated write is not; 5 was answered "not run", 10 "unknown".
+    // A repeated read is allowed, a repeated write is not. The response to 5 said "not run", and
+    // that to 10 "unknown".
     runs: [1, 1, 2, 3, 3, 3, 5, 9, 10].map(createRun),
     attempts: ATTEMPTS,
     ejections: [
-      createEjection("coordinator", SICK_TARGET),
+      createEjection("coordinator", FAILING_TARGET),
       createEjection("coordinator", HEALTHY_TARGET),
       createEjection("local", HEALTHY_TARGET),
       createEjection("local", HEALTHY_TARGET),
@@ -146,26 +148,26 @@
   const data = createData();
   const { workspaces, timeline, ...measures } = analysis.analyzeExperiment(data, "by-hand");
 
-  test.it("gives each measure of the table", () => {
+  test.it("computes each measure of the table", () => {
     assert.deepEqual(measures, {
       deployment: "pitchwise",
       scenario: "by-hand",
       seed: 77,
       variant: "built",
       requests: 22,
-      // An answer to another request is not served, nor is one that was cut.
+      // Truncated responses and responses to another request do not count as served.
       served: 12,
       latencyP50Milliseconds: 5,
       latencyP99Milliseconds: 100,
       refusals: { over_rate: 5, target_reset: 1, cut: 1, mixed: 1, key_unknown: 2 },
       refusedWithinRateShare: 1 / 22,
-      // The one whose key was withdrawn is served still worse, as it must be.
+      // A workspace whose key was withdrawn does not count, however low its share.
       worstServedShare: 4 / 8,
       worstServedWorkspace: "short",
       worstLatencyP99Milliseconds: 100,
       highestOvershoot: 2,
-      // The first window in which the target has less than a quarter of its half.
-      detections: [{ target: SICK_TARGET, fault: "reset", milliseconds: 800 }],
+      // The first window in which the target receives less than a quarter of its fair share (half).
+      detections: [{ target: FAILING_TARGET, fault: "reset", milliseconds: 800 }],
       ejections: data.ejections,
       falseEjections: 1,
       falseAvoidances: 2,
@@ -180,7 +182,7 @@
     });
   });
 
-  test.it("gives each workspace what a bucket of its own would have admitted", () => {
+  test.it("compares each workspace with its own token bucket", () => {
     const rows = workspaces.map((
       row,
     ) => [row.workspace, row.arrivals, row.served, row.servedShare, row.refusedWithinRate]);
@@ -192,7 +194,7 @@
     assert.deepEqual(workspaces.map((row) => row.overshoot), [0, 0, 2]);
   });
 
-  test.it("puts each request into the second of its intended start", () => {
+  test.it("assigns each request to the second of its intended start", () => {
     assert.equal(timeline.length, SCENARIO.durationSeconds);
     assert.deepEqual(timeline[0], {
       second: 0,
