--- a/packages/configuration/src/apply_note.ts
+++ b/packages/configuration/src/apply_note.ts
@@ -38,7 +38,7 @@
     .mapErr((diagnostics): errors.NoteRefusal => ({ kind: "invalid", diagnostics }))
     .andThen((note) => {
       const steps = applyNoteInSteps(current, note, model.createNoteDigest(text), text);
-      return slices.runAtOnce(steps);
+      return slices.runSynchronously(steps);
     })
     .map((applied) => applied.snapshot);
 }
--- a/packages/configuration/src/slices.ts
+++ b/packages/configuration/src/slices.ts
@@ -10,7 +10,7 @@
 const SLICE_MILLISECONDS = 1;
 
 /** Runs a computation synchronously. */
-export function runAtOnce<Result>(steps: Generator<void, Result>): Result {
+export function runSynchronously<Result>(steps: Generator<void, Result>): Result {
   for (;;) {
     const step = steps.next();
     if (step.done === true) {
--- a/packages/configuration/test/apply_note_test.ts
+++ b/packages/configuration/test/apply_note_test.ts
@@ -146,14 +146,18 @@
             .unwrapOr(snapshot);
         }
         assert.ok(snapshot !== undefined);
-        const baseline = configuration.runAtOnce(configuration.createBaselineInSteps(snapshot));
+        const baseline = configuration.runSynchronously(
+          configuration.createBaselineInSteps(snapshot),
+        );
         const builder = new configuration.BaselineBuilder();
         for (const chunk of baseline.chunks.values()) {
-          configuration.runAtOnce(builder.addChunkInSteps(chunk));
+          configuration.runSynchronously(builder.addChunkInSteps(chunk));
         }
         const steps = builder.finishInSteps(snapshot, baseline.manifest.entities);
-        const loaded = configuration.runAtOnce(steps)._unsafeUnwrap();
-        const recreated = configuration.runAtOnce(configuration.createBaselineInSteps(loaded));
+        const loaded = configuration.runSynchronously(steps)._unsafeUnwrap();
+        const recreated = configuration.runSynchronously(
+          configuration.createBaselineInSteps(loaded),
+        );
         assert.deepEqual(recreated, baseline);
         // The reference counts also come from the baseline, so withdrawals must be checked alike.
         for (const content of contents) {
--- a/packages/configuration/test/diagnostics_test.ts
+++ b/packages/configuration/test/diagnostics_test.ts
@@ -108,13 +108,13 @@
 
 function renderBaselineCase([chunk, entities]: [string, number]): readonly model.Diagnostic[] {
   const builder = new configuration.BaselineBuilder();
-  configuration.runAtOnce(builder.addChunkInSteps(chunk));
+  configuration.runSynchronously(builder.addChunkInSteps(chunk));
   const identity = {
     number: model.createNoteNumber(1),
     digest: model.createNoteDigest("note"),
     fleet: { vmLimit: 1, keyPlacement: { header: "key" }, regions: {} },
   };
-  const result = configuration.runAtOnce(builder.finishInSteps(identity, entities));
+  const result = configuration.runSynchronously(builder.finishInSteps(identity, entities));
   return result._unsafeUnwrapErr();
 }
 
--- a/packages/configuration/test/platform_client_test.ts
+++ b/packages/configuration/test/platform_client_test.ts
@@ -58,9 +58,9 @@
 
   run("distinguishes kinds of failures", async ({ platform, client }) => {
     platform.publish("head", "whole value");
-    platform.behaviour.away = true;
+    platform.behaviour.unavailable = true;
     assert.equal((await client.get("head", 1_000))._unsafeUnwrapErr().kind, "unreachable");
-    platform.behaviour.away = false;
+    platform.behaviour.unavailable = false;
     platform.behaviour.silent = true;
     const silent = await client.get("head", TIMEOUT_MILLISECONDS);
     assert.equal(silent._unsafeUnwrapErr().kind, "unreachable");
--- a/packages/configuration/test/relay_test.ts
+++ b/packages/configuration/test/relay_test.ts
@@ -236,7 +236,7 @@
       snapshot = configuration.applyNoteText(snapshot, note.text)._unsafeUnwrap();
     }
     assert.ok(snapshot !== undefined);
-    const baseline = configuration.runAtOnce(configuration.createBaselineInSteps(snapshot));
+    const baseline = configuration.runSynchronously(configuration.createBaselineInSteps(snapshot));
     for (const [key, text] of baseline.chunks) {
       world.platform.publish(key, text);
     }
--- a/packages/daemon/src/virtual_machine.ts
+++ b/packages/daemon/src/virtual_machine.ts
@@ -14,7 +14,7 @@
 import * as administration from "./administration.ts";
 
 /** Factories that measurements replace, to run baselines or to inject faults. */
-export interface VirtualMachineParts {
+export interface ServiceFactories {
   createPeerNetwork(
     self: fleet.VmIdentity,
     options: fleet.PeerNetworkOptions,
@@ -28,7 +28,7 @@
   ): targets.TargetPool;
 }
 
-const DEFAULT_FACTORIES: VirtualMachineParts = {
+const DEFAULT_FACTORIES: ServiceFactories = {
   createPeerNetwork: (self, options) => new fleet.WebSocketPeerNetwork(self, options),
   createRateLimiter: (services, logger) => limits.createRateLimiter(services, logger),
   createFairQueue: (services) => new limits.WeightedFairQueue(services.get(kernel.METRICS)),
@@ -39,7 +39,7 @@
 export function createVirtualMachine(
   settings: model.Settings,
   logger: bunyan,
-  replacedFactories: Partial<VirtualMachineParts> = {},
+  replacedFactories: Partial<ServiceFactories> = {},
 ): kernel.Kernel {
   const factories = { ...DEFAULT_FACTORIES, ...replacedFactories };
   const createLogger = (part: string) => new kernel.ComponentLogger(logger, part);
@@ -82,7 +82,7 @@
 function registerPeerNetwork(
   services: kernel.Kernel,
   settings: model.Settings,
-  factories: VirtualMachineParts,
+  factories: ServiceFactories,
   logger: kernel.ComponentLogger,
 ): fleet.WebSocketPeerNetwork | undefined {
   if (settings.peers === undefined) {
--- a/packages/kernel/src/log_messages.ts
+++ b/packages/kernel/src/log_messages.ts
@@ -176,7 +176,7 @@
       steps: "Every decision about the request with its inputs, as JSON text.",
     },
   },
-  storiesLeftOut: {
+  tracesOmitted: {
     code: 5002,
     level: "info",
     text: "Stories of requests were left out.",
--- a/packages/measure/src/emulator/vm_host_main.ts
+++ b/packages/measure/src/emulator/vm_host_main.ts
@@ -20,7 +20,7 @@
 const ejectionLog = new ejectionLogs.EjectionLog();
 
 /** The parts of the baseline variant: static shares, arrival order, round-robin, no detection. */
-const BASELINE_PARTS: Partial<daemon.VirtualMachineParts> = {
+const BASELINE_PARTS: Partial<daemon.ServiceFactories> = {
   createRateLimiter: (services) =>
     new limits.StaticShareLimiter(services.get(configuration.CONFIGURATION)),
   createFairQueue: () => new limits.ArrivalOrderQueue(),
--- a/packages/operator/src/chain_folder.ts
+++ b/packages/operator/src/chain_folder.ts
@@ -98,9 +98,11 @@
         const finding = model.createDiagnostic(row, [digest, chunk.digest]);
         throw output.createFindingsError(file, [finding]);
       }
-      configuration.runAtOnce(builder.addChunkInSteps(text));
+      configuration.runSynchronously(builder.addChunkInSteps(text));
     }
-    const loaded = configuration.runAtOnce(builder.finishInSteps(manifest, manifest.entities));
+    const loaded = configuration.runSynchronously(
+      builder.finishInSteps(manifest, manifest.entities),
+    );
     if (loaded.isErr()) {
       throw output.createFindingsError(this.getFile(configuration.BASELINE_KEY), loaded.error);
     }
--- a/packages/operator/src/commands/compact.ts
+++ b/packages/operator/src/commands/compact.ts
@@ -15,7 +15,7 @@
     const gap = model.createDiagnostic(model.Diagnostics.chainGap, [1]);
     throw output.createFindingsError(folder, [gap]);
   }
-  const baseline = configuration.runAtOnce(configuration.createBaselineInSteps(snapshot));
+  const baseline = configuration.runSynchronously(configuration.createBaselineInSteps(snapshot));
   for (const [key, text] of baseline.chunks) {
     const bytes = Buffer.byteLength(text);
     if (bytes > model.MAXIMUM_VALUE_BYTES) {
--- a/packages/operator/src/commands/verify.ts
+++ b/packages/operator/src/commands/verify.ts
@@ -64,7 +64,7 @@
     return "digest";
   }
   const createBaseline = (snapshot: configuration.TableSnapshot) =>
-    configuration.runAtOnce(configuration.createBaselineInSteps(snapshot));
+    configuration.runSynchronously(configuration.createBaselineInSteps(snapshot));
   const left = createBaseline(baseline);
   const right = createBaseline(expected);
   if (JSON.stringify(left.manifest.fleet) !== JSON.stringify(right.manifest.fleet)) {
--- a/packages/operator/src/request_traces.ts
+++ b/packages/operator/src/request_traces.ts
@@ -43,7 +43,7 @@
   "v",
 ]);
 
-const TRACES_OMITTED_TEXT = kernel.LogMessages.storiesLeftOut.text;
+const TRACES_OMITTED_TEXT = kernel.LogMessages.tracesOmitted.text;
 
 /** One line of a log. */
 type LogLine = zod.infer<typeof lineSchema>;
--- a/packages/proxy/src/request_log.ts
+++ b/packages/proxy/src/request_log.ts
@@ -90,7 +90,7 @@
     this.#failedLeft = FAILED_LINES_PER_SECOND;
     this.#othersLeft = OTHER_LINES_PER_SECOND;
     if (this.#omitted > 0) {
-      this.#logger.write(kernel.LogMessages.storiesLeftOut, { count: this.#omitted });
+      this.#logger.write(kernel.LogMessages.tracesOmitted, { count: this.#omitted });
       this.#omitted = 0;
     }
   }
--- a/packages/standins/src/platform.ts
+++ b/packages/standins/src/platform.ts
@@ -21,7 +21,7 @@
 /** Injected faults and limits. Tests change them while the stand-in runs. */
 export interface PlatformBehaviour {
   /** Whether calls are closed without a response. */
-  away: boolean;
+  unavailable: boolean;
   /** Whether calls get no response: the path works in one direction only. */
   silent: boolean;
   /** Number of writes that reads see, as on a stale replica; undefined for all. */
@@ -37,7 +37,7 @@
 /** Serves values on loopback. Values are written through `publish`, not through the protocol. */
 export class PlatformStandin {
   readonly behaviour: PlatformBehaviour = {
-    away: false,
+    unavailable: false,
     silent: false,
     visibleWrites: undefined,
     torn: false,
@@ -86,7 +86,7 @@
 
   async #answer(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     this.calls++;
-    if (this.behaviour.away) {
+    if (this.behaviour.unavailable) {
       response.destroy();
       return;
     }
@@ -104,7 +104,7 @@
     }
     await new Promise((resolve) => setTimeout(resolve, this.behaviour.delayMilliseconds));
     // The behaviour may have changed while the call waited.
-    if (this.behaviour.away) {
+    if (this.behaviour.unavailable) {
       response.destroy();
     } else if (!this.behaviour.silent) {
       this.#send(response, key, after);
