--- a/packages/gateway/test/idempotency_test.ts
+++ b/packages/gateway/test/idempotency_test.ts
@@ -153,7 +153,7 @@
 
   test.it("can be claimed again if the request provably did not run", async (context) => {
     const fixture = await startFixture(context);
-    const declaration = { targets: [await kernelTesting.claimDeadAddress()] };
+    const declaration = { targets: [await kernelTesting.claimUnusedAddress()] };
     fixture.vm.configuration.publish(declaration);
     const refused = await fixture.send("/fines");
     assert.equal(refused.headers["hemlockwalk-run"], "no");
--- a/packages/gateway/test/requests_test.ts
+++ b/packages/gateway/test/requests_test.ts
@@ -246,7 +246,7 @@
 
   test.it("refuses slow senders of headers and bodies", async (context) => {
     const vm = await harness.startVm({
-      targets: [await kernelTesting.claimDeadAddress()],
+      targets: [await kernelTesting.claimUnusedAddress()],
       listener: { headerTimeoutMilliseconds: 100, bodyIdleTimeoutMilliseconds: 100 },
     });
     context.after(() => vm.services.stop());
--- a/packages/gateway/test/retries_test.ts
+++ b/packages/gateway/test/retries_test.ts
@@ -35,7 +35,7 @@
     });
   });
   const vm = await harness.startVm({
-    targets: [failing?.address ?? await kernelTesting.claimDeadAddress(), healthy.address],
+    targets: [failing?.address ?? await kernelTesting.claimUnusedAddress(), healthy.address],
     ...declaration,
   });
   context.after(async () => {
@@ -134,7 +134,10 @@
   });
 
   test.it("limits retries during an outage", async (context) => {
-    const dead = [await kernelTesting.claimDeadAddress(), await kernelTesting.claimDeadAddress()];
+    const dead = [
+      await kernelTesting.claimUnusedAddress(),
+      await kernelTesting.claimUnusedAddress(),
+    ];
     const vm = await harness.startVm({ targets: dead });
     context.after(() => vm.services.stop());
     const requests = 200;
--- a/packages/gateway/test/runs_test.ts
+++ b/packages/gateway/test/runs_test.ts
@@ -126,7 +126,7 @@
         () => harness.startTarget((request, response) => handleAttempt(oracle, request, response)),
       ),
     );
-    const dead = await kernelTesting.claimDeadAddress();
+    const dead = await kernelTesting.claimUnusedAddress();
     const route = { timeoutMilliseconds: DEADLINE_MILLISECONDS };
     const service = { notRunSignal: SIGNAL };
     const alive = servers.map(({ address }) => address);
--- a/packages/proxy/src/target_tracker.ts
+++ b/packages/proxy/src/target_tracker.ts
@@ -301,8 +301,8 @@
     const wasSuspected = before > 0.5;
     const isSuspected = after > 0.5;
     if (wasSuspected !== isSuspected) {
-      const { targetSuspected: targetDoubted, targetRecovered: targetTrusted } = kernel.LogMessages;
-      this.#logger.write(isSuspected ? targetDoubted : targetTrusted, {
+      const { targetSuspected, targetRecovered } = kernel.LogMessages;
+      this.#logger.write(isSuspected ? targetSuspected : targetRecovered, {
         target,
         sicknessBefore: Number(before.toFixed(3)),
         sickness: Number(after.toFixed(3)),
