--- a/packages/placement/src/health_estimate.ts
+++ b/packages/placement/src/health_estimate.ts
@@ -34,8 +34,8 @@
 }
 
 /**
- * Failure periods of a few seconds, with about three times as long between them. Assumed until a
- * service's own calls have shown other durations.
+ * Failure periods of a few seconds, with about three times as long between them. Used for all
+ * services; the durations are not adapted to a service's own calls.
  */
 export const DEFAULT_HEALTH_RATES: HealthRates = {
   healthyMilliseconds: 7_000,
